--- a/internal/core/gateway/hello.go
+++ b/internal/core/gateway/hello.go
@@ -26,7 +26,7 @@
 		to = g.everybody()
 	}
 	g.socket.Send(g.greeting(), to)
-	g.Fleet.Share(len(g.Members.ReadyMembers(presence.RoleGateway, g.Config.Box, now)) + 1)
+	g.Fleet.SetGateways(len(g.Members.ReadyMembers(presence.RoleGateway, g.Config.Box, now)) + 1)
 }
 
 // greet tells a new member that this gateway lives.
@@ -198,7 +198,7 @@
 func loadOf(d *presence.LoadReport, taken time.Time) fleet.Load {
 	return fleet.Load{
 		Running: d.Running, Waiting: d.Waiting, Pace: float64(d.Pace),
-		Pass: time.Duration(d.PassMicros) * time.Microsecond, Closed: !d.GroupOpen, Taken: taken, Life: d.LifeMark,
+		Pass: time.Duration(d.PassMicros) * time.Microsecond, GroupDown: !d.GroupOpen, Taken: taken, Life: d.LifeMark,
 		Forecast: fleet.Forecast{Skew: float64(d.Skew), Loading: d.Loading, Number: d.ForecastSequence},
 	}
 }
