--- a/internal/core/ranks/datagram.go
+++ b/internal/core/ranks/datagram.go
@@ -104,7 +104,7 @@
 
 // Answer answers the questions of other sidecars; it is for presence.Socket's
 // Respond.
-func (d *Doer) Answer(ctx context.Context, kind presence.Kind, body []byte) ([]byte, error) {
+func (d *Executor) Answer(ctx context.Context, kind presence.Kind, body []byte) ([]byte, error) {
 	switch kind {
 	case askLook:
 		return respond(ctx, body, &wire.LookRequest{}, d.Look)
--- a/internal/core/ranks/find_test.go
+++ b/internal/core/ranks/find_test.go
@@ -30,10 +30,10 @@
 // once nobody has heard from it for a while.
 func TestKeeperHeardByOthers(t *testing.T) {
 	const lately = 400 * time.Millisecond
-	var doers []*ranks.Doer
+	var doers []*ranks.Executor
 	var places []ranks.Place
 	for r := range 5 {
-		d := &ranks.Doer{Rank: &known{rank: graniteknot.Rank(r)}}
+		d := &ranks.Executor{Rank: &known{rank: graniteknot.Rank(r)}}
 		server := httptest.NewServer(wire.NewRanksServer(d))
 		defer server.Close()
 		doers = append(doers, d)
--- a/internal/core/sidecar/keep.go
+++ b/internal/core/sidecar/keep.go
@@ -107,7 +107,7 @@
 	shape := planner.Shape{
 		Layers: engine.Experts.Sets, Experts: engine.Experts.Experts, Ranks: report.Size, Slots: engine.Experts.Places,
 	}
-	k := ranks.NewKeeper(ranks.Parts{
+	k := ranks.NewCoordinator(ranks.Config{
 		Fence: ranks.FenceOf(at), Own: report.Rank, Former: former, Engine: engine, Gap: gap, Log: s.Log, Meter: s.Meter, Members: found.Members,
 		Link:    s.Config.Link,
 		Clock:   s.Clock,
--- a/internal/core/sidecar/sidecar.go
+++ b/internal/core/sidecar/sidecar.go
@@ -59,7 +59,7 @@
 	Health  watch.Health
 
 	own    held.Rank
-	doer   *ranks.Doer
+	doer   *ranks.Executor
 	socket *presence.Socket
 	census presence.Census
 	server *http.Server
@@ -86,7 +86,7 @@
 	p.Store = &watch.Metered{Store: p.Store, Meter: p.Meter}
 	s := &Sidecar{Parts: p, own: p.Rank(p.Config.Target), news: make(chan struct{}, 1)}
 	s.Health.Log = p.Log
-	s.doer = &ranks.Doer{Rank: s.own, Target: p.Config.Target, Log: p.Log, Meter: p.Meter, Clock: p.Clock}
+	s.doer = &ranks.Executor{Rank: s.own, Target: p.Config.Target, Log: p.Log, Meter: p.Meter, Clock: p.Clock}
 	return s
 }
 
