--- a/internal/core/sidecar/keep.go
+++ b/internal/core/sidecar/keep.go
@@ -85,7 +85,7 @@
 		former = report.Rank
 	}
 	found := s.find(ctx, report, former)
-	if !found.Whole || s.alive(report.Rank, &found) {
+	if !found.Complete || s.alive(report.Rank, &found) {
 		return
 	}
 	// All others found the ranks at the same moment, when the last one answered.
@@ -149,25 +149,25 @@
 // it is then busy, or the way from it is disturbed, and a new keeper would only begin
 // anew what it is doing. By one watcher's silence alone two boxes may take turns where
 // a keeper's link is full.
-func (s *Sidecar) alive(r graniteknot.Rank, found *ranks.Found) bool {
+func (s *Sidecar) alive(r graniteknot.Rank, found *ranks.Discovery) bool {
 	fence, heard := s.doer.Fence()
 	silent := s.Clock.Since(heard)
 	if fence == 0 || silent > keeperSilence+time.Duration(r)*keeperTurn+mostDoubt {
 		return false
 	}
-	alive := found.Heeded()
+	alive := found.CoordinatorAlive()
 	if alive {
-		s.Log.Info("keeper heard by others", slog.Int64("fence", int64(fence)), slog.Int("heard", found.Heard),
+		s.Log.Info("keeper heard by others", slog.Int64("fence", int64(fence)), slog.Int("heard", found.HeardCoordinator),
 			slog.Int("answered", found.Answered), eventlog.Milliseconds("silent", silent))
 	}
 	return alive
 }
 
 // find asks all sidecars which rank is theirs.
-func (s *Sidecar) find(ctx context.Context, report *held.Report, former graniteknot.Rank) ranks.Found {
-	places := []ranks.Place{{Sidecar: s.Config.Peers, Target: s.Config.Target, Zone: s.Config.Zone}}
+func (s *Sidecar) find(ctx context.Context, report *held.Report, former graniteknot.Rank) ranks.Discovery {
+	places := []ranks.Endpoint{{Sidecar: s.Config.Peers, Target: s.Config.Target, Zone: s.Config.Zone}}
 	for _, m := range s.Members.Members(presence.RoleSidecar, s.Config.Box) {
-		places = append(places, ranks.Place{Sidecar: m.Peers, Target: m.Target, Zone: m.Zone})
+		places = append(places, ranks.Endpoint{Sidecar: m.Peers, Target: m.Target, Zone: m.Zone})
 	}
-	return ranks.Find(ctx, report.Group, report.Size, former, keeperSilence, places, s.socket, s.Rank)
+	return ranks.Discover(ctx, report.Group, report.Size, former, keeperSilence, places, s.socket, s.Rank)
 }
