--- a/internal/core/ranks/budget_test.go
+++ b/internal/core/ranks/budget_test.go
@@ -59,7 +59,7 @@
 	}
 	const size, bandwidth = 150e6, 22.5e9
 	return ranks.NewCoordinator(ranks.Config{
-		Fence: fence, Own: graniteknot.Rank(own), Former: graniteknot.Rank(own), Members: members, Link: linkRate, Gap: 200 * time.Millisecond,
+		Fence: fence, OwnRank: graniteknot.Rank(own), FormerRank: graniteknot.Rank(own), Members: members, LinkRate: linkRate, MaxEventGap: 200 * time.Millisecond,
 		Engine: &catalog.Engine{Experts: &catalog.Experts{
 			Sets: s.Layers, Experts: s.Experts, Places: s.Slots, Spare: 2, Size: size, Bandwidth: bandwidth, Fraction: 0.85,
 		}},
--- a/internal/core/ranks/doer.go
+++ b/internal/core/ranks/doer.go
@@ -34,10 +34,10 @@
 	Target graniteknot.Address
 	Log    *eventlog.Log
 	Meter  *meter.Meter
-	// Peer reaches the sidecar at an address; nil for over HTTP.
-	Peer func(graniteknot.Address) wire.Ranks
-	// Asker reaches other sidecars by datagrams; nil for over HTTP only.
-	Asker Asker
+	// PeerClient reaches the sidecar at an address; nil for over HTTP.
+	PeerClient func(graniteknot.Address) wire.Ranks
+	// Datagrams reaches other sidecars by datagrams; nil for over HTTP only.
+	Datagrams DatagramClient
 
 	peers   peers
 	maps    maps
@@ -55,8 +55,8 @@
 	foretold time.Time
 }
 
-// Keeper returns the own rank of the last keeper; false when it is unknown.
-func (d *Executor) Keeper() (graniteknot.Rank, bool) {
+// CoordinatorRank returns the own rank of the last keeper; false when it is unknown.
+func (d *Executor) CoordinatorRank() (graniteknot.Rank, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.keeper, d.told
@@ -74,7 +74,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.keeper, d.told = r, true
-	if f.Number > d.forecast.Number {
+	if f.Sequence > d.forecast.Sequence {
 		d.forecast, d.foretold = f, d.Clock.Now()
 	}
 }
@@ -107,7 +107,7 @@
 			return &wire.LookReply{Fenced: int64(higher)}, nil
 		}
 		if own := r.GetOwnRank(); own > 0 {
-			d.note(graniteknot.Rank(own-1), Forecast{Skew: float64(r.GetSkew()), Loading: r.GetLoading(), Number: r.GetForecast()})
+			d.note(graniteknot.Rank(own-1), Forecast{Skew: float64(r.GetSkew()), Loading: r.GetLoading(), Sequence: r.GetForecast()})
 		}
 	}
 	report, err := d.Rank.Report(ctx)
--- a/internal/core/ranks/find.go
+++ b/internal/core/ranks/find.go
@@ -43,7 +43,7 @@
 // The former keeper's rank need not answer: where it alone is lacking, and one
 // place alone does not answer, it is taken to be there. Pass a negative rank for
 // none. An asker reaches sidecars by datagrams; nil for over HTTP only.
-func Discover(ctx context.Context, name held.GroupName, size int, former graniteknot.Rank, lately time.Duration, places []Endpoint, asker Asker, reach func(graniteknot.Address) held.Rank) Discovery {
+func Discover(ctx context.Context, name held.GroupName, size int, former graniteknot.Rank, lately time.Duration, places []Endpoint, asker DatagramClient, reach func(graniteknot.Address) held.Rank) Discovery {
 	if size <= 0 {
 		return Discovery{}
 	}
--- a/internal/core/ranks/keeper.go
+++ b/internal/core/ranks/keeper.go
@@ -78,25 +78,25 @@
 	Clock graniteknot.AgeClock
 	// Fence is higher than any former keeper's.
 	Fence graniteknot.Position
-	// Own is the keeper's own rank, Former that of the keeper before it; the same
+	// OwnRank is the keeper's own rank, FormerRank that of the keeper before it; the same
 	// when there was none, or it is not known.
-	Own, Former graniteknot.Rank
+	OwnRank, FormerRank graniteknot.Rank
 	// Engine has experts.
 	Engine *catalog.Engine
-	// Gap is the longest useful pause between events; 0 is unknown.
-	Gap time.Duration
-	// Link is what the keeper's box can receive, in bytes a second; 0 is unknown.
-	Link float64
+	// MaxEventGap is the longest useful pause between events; 0 is unknown.
+	MaxEventGap time.Duration
+	// LinkRate is what the keeper's box can receive, in bytes a second; 0 is unknown.
+	LinkRate float64
 	// Planner has a threshold of its own or, if that is 0, gets one that follows
 	// how long passes take.
 	Planner *planner.Planner
 	// Members are all ranks, in order.
 	Members []*Member
-	// Tell is given what is known of the length of passes, once a round; nil for
+	// OnForecast is given what is known of the length of passes, once a round; nil for
 	// nobody.
-	Tell  func(Forecast)
-	Log   *eventlog.Log
-	Meter *meter.Meter
+	OnForecast func(Forecast)
+	Log        *eventlog.Log
+	Meter      *meter.Meter
 }
 
 // Coordinator keeps one group's map while it holds the highest fence. It is used by
@@ -156,7 +156,7 @@
 	for _, m := range p.Members {
 		m.clock = p.Clock
 	}
-	k.parts = partsOf(p.Members, p.Own)
+	k.parts = partsOf(p.Members, p.OwnRank)
 	s := p.Planner.Shape
 	if s.Ranks*s.Layers*s.Experts > smallGroup {
 		k.tally = newTally(k.window, &k.Config, k.news)
@@ -249,7 +249,7 @@
 		k.plan()
 	}
 	k.pace.see(states[0].Step, now)
-	k.wish.Own, k.wish.Home, k.wish.Lead = k.Own, k.home(), k.pace.lead()
+	k.wish.Own, k.wish.Home, k.wish.Lead = k.OwnRank, k.home(), k.pace.lead()
 	d := held.Decide(states, k.wish)
 	k.wish.Freed = max(k.wish.Freed, d.Freed)
 	k.enter(d.Phase)
@@ -273,8 +273,8 @@
 func (k *Coordinator) question(counts bool) *wire.LookRequest {
 	f := k.foretold()
 	return &wire.LookRequest{
-		Fence: int64(k.Fence), OwnRank: int32(k.Own) + 1, Counts: counts, Lists: k.placement == nil,
-		Skew: float32(f.Skew), Loading: f.Loading, Forecast: f.Number,
+		Fence: int64(k.Fence), OwnRank: int32(k.OwnRank) + 1, Counts: counts, Lists: k.placement == nil,
+		Skew: float32(f.Skew), Loading: f.Loading, Forecast: f.Sequence,
 	}
 }
 
--- a/internal/core/ranks/look.go
+++ b/internal/core/ranks/look.go
@@ -55,7 +55,7 @@
 
 // home is the rank that holds: the one after the keeper's own.
 func (k *Coordinator) home() graniteknot.Rank {
-	return (k.Own + 1) % graniteknot.Rank(len(k.Members))
+	return (k.OwnRank + 1) % graniteknot.Rank(len(k.Members))
 }
 
 // without goes on while some rank can't be read. If it is the former keeper's
@@ -66,7 +66,7 @@
 	for i, m := range k.Members {
 		last, at := m.shown()
 		states[i] = last.state
-		if graniteknot.Rank(i) == k.Former {
+		if graniteknot.Rank(i) == k.FormerRank {
 			continue
 		}
 		if at.IsZero() || k.Clock.Since(at) > lookAge || !last.state.Open || last.state.Epoch != k.epoch {
@@ -81,7 +81,7 @@
 			orders = append(orders, held.Order{Kind: held.KindGo, Rank: graniteknot.Rank(i), Step: held.Never, Epoch: last.state.Epoch})
 		}
 	}
-	if k.Former == k.Own {
+	if k.FormerRank == k.OwnRank {
 		k.enter(held.PhaseClosed)
 		return idleRound
 	}
@@ -89,7 +89,7 @@
 		k.give(ctx, orders, now)
 		return fastRound
 	}
-	d := held.DecideWithout(states, k.Former, k.wish)
+	d := held.DecideWithout(states, k.FormerRank, k.wish)
 	k.wish.Freed = max(k.wish.Freed, d.Freed)
 	k.enter(d.Phase)
 	k.give(ctx, d.Orders, now)
--- a/internal/core/ranks/parts_test.go
+++ b/internal/core/ranks/parts_test.go
@@ -90,7 +90,7 @@
 	inner := &asked{calls: map[string]int{}}
 	b := newBench(small, 1)
 	defer b.stop()
-	d := &ranks.Executor{Rank: b.group.Rank(0), Peer: func(a graniteknot.Address) wire.Ranks {
+	d := &ranks.Executor{Rank: b.group.Rank(0), PeerClient: func(a graniteknot.Address) wire.Ranks {
 		return &sidecarAsked{asked: inner, name: string(a)}
 	}}
 	var others []string
--- a/internal/core/ranks/plan.go
+++ b/internal/core/ranks/plan.go
@@ -101,15 +101,15 @@
 	} else {
 		k.forecaster.see(&k.window, k.placement, k.paces, k.mapping)
 	}
-	if k.Tell != nil {
-		k.Tell(k.foretold())
+	if k.OnForecast != nil {
+		k.OnForecast(k.foretold())
 	}
 }
 
 // foretold is the present forecast.
 func (k *Coordinator) foretold() Forecast {
 	f := k.forecaster.forecast(k.phase)
-	f.Number = uint64(k.Fence)<<roundBits | k.rounds
+	f.Sequence = uint64(k.Fence)<<roundBits | k.rounds
 	return f
 }
 
@@ -166,7 +166,7 @@
 	k.Planner.Observe(loads)
 	if !k.fixed {
 		k.Planner.SwitchGain = switchGain * float64(k.Engine.Experts.Sets)
-		k.Planner.Threshold = threshold(k.pace.pass, k.Gap) * relativeCost(k.Engine.Experts, len(k.Members))
+		k.Planner.Threshold = threshold(k.pace.pass, k.MaxEventGap) * relativeCost(k.Engine.Experts, len(k.Members))
 	}
 	k.Planner.Paces = k.paces
 	next := k.Planner.PlanNext(k.placement, k.room())
--- a/internal/core/ranks/rig_test.go
+++ b/internal/core/ranks/rig_test.go
@@ -38,7 +38,7 @@
 	b.group.Load = loadTime
 	b.group.Like(uneven(s, seed))
 	for r := range s.Ranks {
-		b.doers = append(b.doers, &ranks.Executor{Rank: b.group.Rank(graniteknot.Rank(r)), Peer: b.sidecar})
+		b.doers = append(b.doers, &ranks.Executor{Rank: b.group.Rank(graniteknot.Rank(r)), PeerClient: b.sidecar})
 	}
 	b.run.Go(func(ctx context.Context) { b.group.Run(ctx, passTime) })
 	return b
@@ -89,7 +89,7 @@
 		members = append(members, ranks.NewMember(graniteknot.Rank(r), d, sidecar(r), b.group.Rank(graniteknot.Rank(r))))
 	}
 	return ranks.NewCoordinator(ranks.Config{
-		Fence: fence, Own: own, Former: former, Members: members,
+		Fence: fence, OwnRank: own, FormerRank: former, Members: members,
 		Engine:  &catalog.Engine{Experts: b.experts()},
 		Planner: &planner.Planner{Shape: s, Threshold: 0.02, Smoothing: 1},
 	})
--- a/internal/core/ranks/sum.go
+++ b/internal/core/ranks/sum.go
@@ -42,10 +42,10 @@
 
 // peer returns the calls of another sidecar.
 func (d *Executor) peer(address string) wire.Ranks {
-	if d.Peer != nil {
-		return d.Peer(graniteknot.Address(address))
+	if d.PeerClient != nil {
+		return d.PeerClient(graniteknot.Address(address))
 	}
-	return byDatagrams(d.Asker, graniteknot.Address(address), d.peers.client(address))
+	return byDatagrams(d.Datagrams, graniteknot.Address(address), d.peers.client(address))
 }
 
 // Sum implements wire.Ranks. What does not come in time is left out: the sum is then
--- a/internal/core/sidecar/keep.go
+++ b/internal/core/sidecar/keep.go
@@ -79,7 +79,7 @@
 	if engine == nil {
 		return
 	}
-	former, told := s.doer.Keeper()
+	former, told := s.doer.CoordinatorRank()
 	if !told || !s.Config.FencesChecked {
 		// Going on without a rank is safe only where ranks check fences.
 		former = report.Rank
@@ -108,11 +108,11 @@
 		Layers: engine.Experts.Sets, Experts: engine.Experts.Experts, Ranks: report.Size, Slots: engine.Experts.Places,
 	}
 	k := ranks.NewCoordinator(ranks.Config{
-		Fence: ranks.FenceOf(at), Own: report.Rank, Former: former, Engine: engine, Gap: gap, Log: s.Log, Meter: s.Meter, Members: found.Members,
-		Link:    s.Config.Link,
-		Clock:   s.Clock,
-		Tell:    s.takeForecast,
-		Planner: &planner.Planner{Shape: shape, Smoothing: 1},
+		Fence: ranks.FenceOf(at), OwnRank: report.Rank, FormerRank: former, Engine: engine, MaxEventGap: gap, Log: s.Log, Meter: s.Meter, Members: found.Members,
+		LinkRate:   s.Config.Link,
+		Clock:      s.Clock,
+		OnForecast: s.takeForecast,
+		Planner:    &planner.Planner{Shape: shape, Smoothing: 1},
 	})
 	s.Log.Info("keeping", slog.String("group", string(report.Group)), slog.Int64("fence", int64(ranks.FenceOf(at))), slog.Int("ranks", report.Size))
 	fenced := k.Run(ctx)
--- a/internal/core/sidecar/sidecar.go
+++ b/internal/core/sidecar/sidecar.go
@@ -98,8 +98,8 @@
 		return err
 	}
 	s.socket = socket
-	s.doer.Asker = socket
-	socket.Respond(s.doer.Answer)
+	s.doer.Datagrams = socket
+	socket.Respond(s.doer.ServeDatagram)
 	if err := s.listen(ctx); err != nil {
 		return err
 	}
@@ -227,7 +227,7 @@
 	s.mu.Unlock()
 	s.socket.Send(presence.Message{Load: &presence.Digest{
 		Target: s.Config.Target, Running: r.Running, Waiting: r.Waiting, Pace: float32(r.Pace), Open: r.Group == "" || r.State.Open, Pass: pass.Microseconds(),
-		Skew: float32(f.Skew), Loading: f.Loading, Forecast: f.Number, Life: life,
+		Skew: float32(f.Skew), Loading: f.Loading, Forecast: f.Sequence, Life: life,
 	}}, to)
 }
 
