--- a/internal/core/ranks/convert.go
+++ b/internal/core/ranks/convert.go
@@ -16,7 +16,7 @@
 	}
 }
 
-func stateOf(s *wire.RankState) held.State {
+func stateFromWire(s *wire.RankState) held.State {
 	return held.State{
 		Epoch: held.Epoch(s.GetEpoch()), Open: s.GetOpen(), Step: graniteknot.Step(s.GetStep()),
 		Mapping: held.Version(s.GetMapping()), Prepared: held.Version(s.GetPrepared()), Armed: held.Version(s.GetArmed()),
@@ -35,7 +35,7 @@
 	return out
 }
 
-func listsOf(lists []*wire.ExpertList) [][]graniteknot.Expert {
+func listsFromWire(lists []*wire.ExpertList) [][]graniteknot.Expert {
 	out := make([][]graniteknot.Expert, len(lists))
 	for i, list := range lists {
 		for _, e := range list.GetExperts() {
@@ -45,7 +45,7 @@
 	return out
 }
 
-func commandOf(r *wire.GiveRequest) *held.Command {
+func commandFromWire(r *wire.GiveRequest) *held.Command {
 	c := &held.Command{
 		Order: held.Order{
 			Kind: held.Kind(r.GetKind()), Version: held.Version(r.GetVersion()), Step: graniteknot.Step(r.GetStep()),
@@ -54,12 +54,12 @@
 		Fence: graniteknot.Position(r.GetFence()),
 	}
 	if n := len(r.GetPlacement()); n > 0 {
-		c.Placement = placementOf(r)
+		c.Placement = placementFromWire(r)
 	}
 	return c
 }
 
-func placementOf(r *wire.GiveRequest) *planner.Placement {
+func placementFromWire(r *wire.GiveRequest) *planner.Placement {
 	ranks, places := int(r.GetRanks()), int(r.GetPlaces())
 	if ranks <= 0 || places <= 0 || len(r.GetPlacement())%(ranks*places) != 0 {
 		return nil
--- a/internal/core/ranks/sum.go
+++ b/internal/core/ranks/count_sum.go
@@ -13,52 +13,52 @@
 )
 
 const (
-	// tallyTime bounds a keeper's question for the sum of a part, and waitShare is the
+	// sumTimeout bounds a keeper's question for the sum of a part, and waitShare is the
 	// part of its own time that a sidecar gives those that it asks. On a narrow link the
 	// sums of some branches, a few KB each, take a while.
-	tallyTime = 600 * time.Millisecond
-	waitShare = 0.65
-	// smallGroup is the most counts, of all ranks together, that a keeper reads
+	sumTimeout        = 600 * time.Millisecond
+	childWaitFraction = 0.65
+	// maxDirectCounts is the most counts, of all ranks together, that a keeper reads
 	// itself; of more it reads sums. At three bytes a count this is some 30 KB,
 	// which a side box's link of 8 Mbit/s carries in 30 ms.
-	smallGroup = 10_000
+	maxDirectCounts = 10_000
 )
 
-// peers reaches other sidecars by their addresses.
-type peers struct {
+// httpPeers reaches other sidecars by their addresses.
+type httpPeers struct {
 	mu   sync.Mutex
 	http *http.Client
 }
 
 // client returns the calls of a sidecar at an address.
-func (p *peers) client(address string) wire.Ranks {
+func (p *httpPeers) client(address string) wire.Ranks {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.http == nil {
-		p.http = &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: mostCalls}}
+		p.http = &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: maxSameCalls}}
 	}
 	return wire.NewRanksProtobufClient("http://"+address, p.http)
 }
 
-// peer returns the calls of another sidecar.
-func (d *Executor) peer(address string) wire.Ranks {
+// peerClient returns the calls of another sidecar.
+func (d *Executor) peerClient(address string) wire.Ranks {
 	if d.PeerClient != nil {
 		return d.PeerClient(graniteknot.Address(address))
 	}
-	return byDatagrams(d.Datagrams, graniteknot.Address(address), d.peers.client(address))
+	return overDatagrams(d.Datagrams, graniteknot.Address(address), d.httpPeers.client(address))
 }
 
 // Sum implements wire.Ranks. What does not come in time is left out: the sum is then
 // of fewer ranks, of which the keeper is told the number.
 func (d *Executor) Sum(ctx context.Context, r *wire.SumRequest) (*wire.SumReply, error) {
-	wait := time.Duration(float64(r.GetWaitMs())*waitShare) * time.Millisecond
-	var all summer
+	wait := time.Duration(float64(r.GetWaitMs())*childWaitFraction) * time.Millisecond
+	var all countSum
 	var asked group.Group
-	for _, branch := range branches(r.GetSidecars()) {
+	for _, branch := range splitBranches(r.GetSidecars()) {
 		asked.Go(func(context.Context) {
 			short, cancel := context.WithTimeout(ctx, wait)
 			defer cancel()
-			reply, err := d.peer(branch[0]).Sum(short, &wire.SumRequest{
+			reply, err := d.peerClient(branch[0]).Sum(short, &wire.SumRequest{
 				Sidecars: branch[1:], Fence: r.GetFence(), Round: r.GetRound(), Since: r.GetSince(), WaitMs: int32(wait.Milliseconds()),
 			})
 			if err == nil {
@@ -67,14 +67,14 @@
 		})
 	}
 	if own, err := d.Rank.Counts(ctx); err == nil {
-		all.add(d.samples.take(graniteknot.Position(r.GetFence()), r.GetRound(), r.GetSince(), own))
+		all.add(d.countHistory.add(graniteknot.Position(r.GetFence()), r.GetRound(), r.GetSince(), own))
 	}
 	asked.Wait()
-	return all.sum(), nil
+	return all.reply(), nil
 }
 
-// summer adds counts up. The zero value is empty.
-type summer struct {
+// countSum adds counts up. The zero value is empty.
+type countSum struct {
 	mu     sync.Mutex
 	counts []uint64
 	// ranks is how many ranks they are of, sampled how many sidecars remember the
@@ -83,7 +83,7 @@
 }
 
 // add takes in a sum; one of another length than those before is left out.
-func (s *summer) add(r *wire.SumReply) {
+func (s *countSum) add(r *wire.SumReply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sampled += r.GetSampled()
@@ -99,7 +99,7 @@
 	}
 }
 
-func (s *summer) sum() *wire.SumReply {
+func (s *countSum) reply() *wire.SumReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return &wire.SumReply{Counts: coarse.Bytes(s.counts), Ranks: s.ranks, Sampled: s.sampled}
--- a/internal/core/ranks/datagram.go
+++ b/internal/core/ranks/datagram.go
@@ -14,11 +14,11 @@
 
 // The questions that sidecars ask each other by datagrams.
 const (
-	askLook presence.Kind = 1
-	askGive presence.Kind = 2
+	kindLook presence.Kind = 1
+	kindGive presence.Kind = 2
 	// The same of a part of a group.
-	askLookAll presence.Kind = 3
-	askGiveAll presence.Kind = 4
+	kindLookAll presence.Kind = 3
+	kindGiveAll presence.Kind = 4
 )
 
 // DatagramClient asks another process by a datagram; presence.Socket is one.
@@ -26,31 +26,31 @@
 	Ask(ctx context.Context, to graniteknot.Address, kind presence.Kind, body []byte) ([]byte, error)
 }
 
-// datagrams makes the calls by datagrams that fit into one: on the small boxes
+// datagramRanks makes the calls by datagramRanks that fit into one: on the small boxes
 // of targets one costs a fraction of a call over HTTP, and a keeper makes
 // hundreds a second. What does not fit goes over HTTP. A datagram that is lost
 // looks like a sidecar that does not answer; the keeper asks again.
-type datagrams struct {
+type datagramRanks struct {
 	wire.Ranks
-	asker DatagramClient
-	to    graniteknot.Address
+	client  DatagramClient
+	address graniteknot.Address
 }
 
-// byDatagrams returns the calls of the sidecar at an address.
-func byDatagrams(asker DatagramClient, to graniteknot.Address, http wire.Ranks) wire.Ranks {
+// overDatagrams returns the calls of the sidecar at an address.
+func overDatagrams(asker DatagramClient, to graniteknot.Address, http wire.Ranks) wire.Ranks {
 	if asker == nil {
 		return http
 	}
-	return &datagrams{Ranks: http, asker: asker, to: to}
+	return &datagramRanks{Ranks: http, client: asker, address: to}
 }
 
 // Look implements wire.Ranks.
-func (d *datagrams) Look(ctx context.Context, r *wire.LookRequest) (*wire.LookReply, error) {
+func (d *datagramRanks) Look(ctx context.Context, r *wire.LookRequest) (*wire.LookReply, error) {
 	reply := &wire.LookReply{}
 	if r.GetLists() {
 		return d.Ranks.Look(ctx, r)
 	}
-	err := d.ask(ctx, askLook, r, reply)
+	err := d.call(ctx, kindLook, r, reply)
 	if errors.Is(err, presence.ErrTooLarge) {
 		return d.Ranks.Look(ctx, r)
 	}
@@ -58,9 +58,9 @@
 }
 
 // Give implements wire.Ranks.
-func (d *datagrams) Give(ctx context.Context, r *wire.GiveRequest) (*wire.GiveReply, error) {
+func (d *datagramRanks) Give(ctx context.Context, r *wire.GiveRequest) (*wire.GiveReply, error) {
 	reply := &wire.GiveReply{}
-	err := d.ask(ctx, askGive, r, reply)
+	err := d.call(ctx, kindGive, r, reply)
 	if errors.Is(err, presence.ErrTooLarge) {
 		return d.Ranks.Give(ctx, r)
 	}
@@ -68,12 +68,12 @@
 }
 
 // LookAll implements wire.Ranks.
-func (d *datagrams) LookAll(ctx context.Context, r *wire.LookAllRequest) (*wire.LookAllReply, error) {
+func (d *datagramRanks) LookAll(ctx context.Context, r *wire.LookAllRequest) (*wire.LookAllReply, error) {
 	reply := &wire.LookAllReply{}
 	if r.GetLook().GetLists() {
 		return d.Ranks.LookAll(ctx, r)
 	}
-	err := d.ask(ctx, askLookAll, r, reply)
+	err := d.call(ctx, kindLookAll, r, reply)
 	if errors.Is(err, presence.ErrTooLarge) {
 		return d.Ranks.LookAll(ctx, r)
 	}
@@ -81,21 +81,21 @@
 }
 
 // GiveAll implements wire.Ranks.
-func (d *datagrams) GiveAll(ctx context.Context, r *wire.GiveAllRequest) (*wire.GiveAllReply, error) {
+func (d *datagramRanks) GiveAll(ctx context.Context, r *wire.GiveAllRequest) (*wire.GiveAllReply, error) {
 	reply := &wire.GiveAllReply{}
-	err := d.ask(ctx, askGiveAll, r, reply)
+	err := d.call(ctx, kindGiveAll, r, reply)
 	if errors.Is(err, presence.ErrTooLarge) {
 		return d.Ranks.GiveAll(ctx, r)
 	}
 	return reply, err
 }
 
-func (d *datagrams) ask(ctx context.Context, kind presence.Kind, question, reply proto.Message) error {
+func (d *datagramRanks) call(ctx context.Context, kind presence.Kind, question, reply proto.Message) error {
 	body, err := proto.Marshal(question)
 	if err != nil {
 		return err
 	}
-	answer, err := d.asker.Ask(ctx, d.to, kind, body)
+	answer, err := d.client.Ask(ctx, d.address, kind, body)
 	if err != nil {
 		return err
 	}
@@ -106,20 +106,20 @@
 // Respond.
 func (d *Executor) ServeDatagram(ctx context.Context, kind presence.Kind, body []byte) ([]byte, error) {
 	switch kind {
-	case askLook:
-		return respond(ctx, body, &wire.LookRequest{}, d.Look)
-	case askGive:
-		return respond(ctx, body, &wire.GiveRequest{}, d.Give)
-	case askLookAll:
-		return respond(ctx, body, &wire.LookAllRequest{}, d.LookAll)
-	case askGiveAll:
-		return respond(ctx, body, &wire.GiveAllRequest{}, d.GiveAll)
+	case kindLook:
+		return serveCall(ctx, body, &wire.LookRequest{}, d.Look)
+	case kindGive:
+		return serveCall(ctx, body, &wire.GiveRequest{}, d.Give)
+	case kindLookAll:
+		return serveCall(ctx, body, &wire.LookAllRequest{}, d.LookAll)
+	case kindGiveAll:
+		return serveCall(ctx, body, &wire.GiveAllRequest{}, d.GiveAll)
 	}
 	return nil, fmt.Errorf("a question of unknown kind %d", kind)
 }
 
-// respond makes a call whose request and reply are bodies of datagrams.
-func respond[Q, R proto.Message](ctx context.Context, body []byte, request Q, call func(context.Context, Q) (R, error)) ([]byte, error) {
+// serveCall makes a call whose request and reply are bodies of datagrams.
+func serveCall[Q, R proto.Message](ctx context.Context, body []byte, request Q, call func(context.Context, Q) (R, error)) ([]byte, error) {
 	if err := proto.Unmarshal(body, request); err != nil {
 		return nil, err
 	}
--- a/internal/core/ranks/find.go
+++ b/internal/core/ranks/discover.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// findTime bounds the question to a sidecar which rank is its own. One that
+	// sidecarProbeTimeout bounds the question to a sidecar which rank is its own. One that
 	// does not answer is gone around.
-	findTime = 150 * time.Millisecond
-	// reachTime bounds the same question to a rank from afar.
-	reachTime = 200 * time.Millisecond
+	sidecarProbeTimeout = 150 * time.Millisecond
+	// rankProbeTimeout bounds the same question to a rank from afar.
+	rankProbeTimeout = 200 * time.Millisecond
 )
 
 // Endpoint is where a sidecar and its rank are.
@@ -47,15 +47,15 @@
 	if size <= 0 {
 		return Discovery{}
 	}
-	client := &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: mostCalls}}
+	client := &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: maxSameCalls}}
 	found := make([]*Member, len(places))
-	answers := make([]answer, len(places))
+	answers := make([]probeResult, len(places))
 	var all group.Group
 	for i, place := range places {
 		all.Go(func(context.Context) {
-			doer := byDatagrams(asker, place.Sidecar, wire.NewRanksProtobufClient("http://"+string(place.Sidecar), client))
+			doer := overDatagrams(asker, place.Sidecar, wire.NewRanksProtobufClient("http://"+string(place.Sidecar), client))
 			direct := reach(place.Target)
-			answers[i] = ask(ctx, name, doer, direct)
+			answers[i] = probe(ctx, name, doer, direct)
 			found[i] = NewMember(answers[i].rank, doer, place.Sidecar, direct)
 			found[i].zone = place.Zone
 		})
@@ -63,7 +63,7 @@
 	all.Wait()
 	out := Discovery{Members: make([]*Member, size)}
 	for _, a := range answers {
-		out.note(a, lately)
+		out.countAnswer(a, lately)
 	}
 	members := out.Members
 	var silent []*Member
@@ -71,7 +71,7 @@
 		switch {
 		case m.rank >= 0 && int(m.rank) < size:
 			members[m.rank] = m
-		case m.rank == unanswered:
+		case m.rank == rankUnanswered:
 			silent = append(silent, m)
 		}
 	}
@@ -83,67 +83,67 @@
 	return out
 }
 
-// heardShare is the part of a group's sidecars that have heard from the keeper of late
+// minHeardFraction is the part of a group's sidecars that have heard from the keeper of late
 // for it to be alive. A keeper that reaches fewer than half of its ranks can't switch
 // their map.
-const heardShare = 0.5
+const minHeardFraction = 0.5
 
 // CoordinatorAlive tells whether a keeper is heard by enough of the group to be alive.
 func (f *Discovery) CoordinatorAlive() bool {
-	return f.Answered > 0 && float64(f.HeardCoordinator) >= heardShare*float64(f.Answered)
+	return f.Answered > 0 && float64(f.HeardCoordinator) >= minHeardFraction*float64(f.Answered)
 }
 
-// note counts an answer.
-func (f *Discovery) note(a answer, lately time.Duration) {
-	if !a.sidecar || a.rank < 0 {
+// countAnswer counts an answer.
+func (f *Discovery) countAnswer(a probeResult, lately time.Duration) {
+	if !a.fromSidecar || a.rank < 0 {
 		return
 	}
 	f.Answered++
-	if a.keeper && a.age < lately {
+	if a.coordinatorKnown && a.coordinatorAge < lately {
 		f.HeardCoordinator++
 	}
 }
 
-// answer is what was learned of a place.
-type answer struct {
+// probeResult is what was learned of a place.
+type probeResult struct {
 	rank graniteknot.Rank
-	// sidecar tells that it was the sidecar that answered; keeper that it has heard
-	// of a keeper, age ago.
-	sidecar, keeper bool
-	age             time.Duration
+	// fromSidecar tells that it was the fromSidecar that answered; coordinatorKnown that it has heard
+	// of a coordinatorKnown, age ago.
+	fromSidecar, coordinatorKnown bool
+	coordinatorAge                time.Duration
 }
 
-// unanswered and elsewhere stand for the rank of a place that did not answer, or
+// rankUnanswered and rankOtherGroup stand for the rank of a place that did not answer, or
 // that is no rank of the group.
 const (
-	unanswered graniteknot.Rank = -1
-	elsewhere  graniteknot.Rank = -2
+	rankUnanswered graniteknot.Rank = -1
+	rankOtherGroup graniteknot.Rank = -2
 )
 
-// ask finds out which rank of the group is at a place.
-func ask(ctx context.Context, name held.GroupName, doer wire.Ranks, direct held.Rank) answer {
-	short, cancel := context.WithTimeout(ctx, findTime)
+// probe finds out which rank of the group is at a place.
+func probe(ctx context.Context, name held.GroupName, doer wire.Ranks, direct held.Rank) probeResult {
+	short, cancel := context.WithTimeout(ctx, sidecarProbeTimeout)
 	defer cancel()
 	reply, err := doer.Look(short, &wire.LookRequest{})
 	if err == nil {
-		return answer{
-			rank: ifIn(name, held.GroupName(reply.GetGroup()), graniteknot.Rank(reply.GetRank())), sidecar: true,
-			keeper: reply.GetKeeper() != 0, age: time.Duration(reply.GetKeeperAgeMs()) * time.Millisecond,
+		return probeResult{
+			rank: rankIfInGroup(name, held.GroupName(reply.GetGroup()), graniteknot.Rank(reply.GetRank())), fromSidecar: true,
+			coordinatorKnown: reply.GetKeeper() != 0, coordinatorAge: time.Duration(reply.GetKeeperAgeMs()) * time.Millisecond,
 		}
 	}
-	long, stop := context.WithTimeout(ctx, reachTime)
+	long, stop := context.WithTimeout(ctx, rankProbeTimeout)
 	defer stop()
 	report, err := direct.Report(long)
 	if err != nil {
-		return answer{rank: unanswered}
+		return probeResult{rank: rankUnanswered}
 	}
-	return answer{rank: ifIn(name, report.Group, report.Rank)}
+	return probeResult{rank: rankIfInGroup(name, report.Group, report.Rank)}
 }
 
-// ifIn returns a rank if its group is the one that is looked for.
-func ifIn(name, group held.GroupName, r graniteknot.Rank) graniteknot.Rank {
+// rankIfInGroup returns a rank if its group is the one that is looked for.
+func rankIfInGroup(name, group held.GroupName, r graniteknot.Rank) graniteknot.Rank {
 	if group != name {
-		return elsewhere
+		return rankOtherGroup
 	}
 	return r
 }
--- a/internal/core/ranks/doer.go
+++ b/internal/core/ranks/executor.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	// orderTime bounds an order to the own rank, with all its tries.
-	orderTime = 450 * time.Millisecond
-	// tryTime bounds one try. The rank is on the same box and answers within a
+	// orderTimeout bounds an order to the own rank, with all its tries.
+	orderTimeout = 450 * time.Millisecond
+	// attemptTimeout bounds one try. The rank is on the same box and answers within a
 	// few milliseconds, or not at all; then the same order is given again, which
 	// changes nothing if the first was taken.
-	tryTime = 45 * time.Millisecond
+	attemptTimeout = 45 * time.Millisecond
 )
 
 // Executor reads its rank and gives it orders for the keeper. Set the exported
@@ -39,43 +39,43 @@
 	// Datagrams reaches other sidecars by datagrams; nil for over HTTP only.
 	Datagrams DatagramClient
 
-	peers   peers
-	maps    maps
-	samples samples
+	httpPeers    httpPeers
+	recentMaps   recentMaps
+	countHistory countHistory
 
 	mu sync.Mutex
 	// fence is the highest that was heard, heard when.
-	fence graniteknot.Position
-	heard time.Time
-	// keeper is the own rank of the last keeper that told it; none before.
-	keeper graniteknot.Rank
-	told   bool
+	fence        graniteknot.Position
+	fenceHeardAt time.Time
+	// coordinator is the own rank of the last coordinator that told it; none before.
+	coordinator      graniteknot.Rank
+	coordinatorKnown bool
 	// forecast is the newest that a keeper told, heard at foretold.
-	forecast Forecast
-	foretold time.Time
+	forecast   Forecast
+	forecastAt time.Time
 }
 
 // CoordinatorRank returns the own rank of the last keeper; false when it is unknown.
 func (d *Executor) CoordinatorRank() (graniteknot.Rank, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.keeper, d.told
+	return d.coordinator, d.coordinatorKnown
 }
 
 // Forecast returns the newest forecast of a keeper, and when it came.
 func (d *Executor) Forecast() (Forecast, time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.forecast, d.foretold
+	return d.forecast, d.forecastAt
 }
 
-// note keeps the own rank of a keeper, and what it foretells.
-func (d *Executor) note(r graniteknot.Rank, f Forecast) {
+// recordCoordinator keeps the own rank of a keeper, and what it foretells.
+func (d *Executor) recordCoordinator(r graniteknot.Rank, f Forecast) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.keeper, d.told = r, true
+	d.coordinator, d.coordinatorKnown = r, true
 	if f.Sequence > d.forecast.Sequence {
-		d.forecast, d.foretold = f, d.Clock.Now()
+		d.forecast, d.forecastAt = f, d.Clock.Now()
 	}
 }
 
@@ -83,11 +83,11 @@
 func (d *Executor) Fence() (graniteknot.Position, time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.fence, d.heard
+	return d.fence, d.fenceHeardAt
 }
 
-// admit takes a keeper's fence, or returns the higher one that is known.
-func (d *Executor) admit(fence graniteknot.Position) (higher graniteknot.Position) {
+// admitFence takes a keeper's fence, or returns the higher one that is known.
+func (d *Executor) admitFence(fence graniteknot.Position) (higher graniteknot.Position) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if fence < d.fence {
@@ -96,18 +96,18 @@
 	if fence > d.fence {
 		d.Log.Info("keeper", slog.Int64("fence", int64(fence)), slog.Int64("former", int64(d.fence)))
 	}
-	d.fence, d.heard = fence, d.Clock.Now()
+	d.fence, d.fenceHeardAt = fence, d.Clock.Now()
 	return 0
 }
 
 // Look implements wire.Ranks.
 func (d *Executor) Look(ctx context.Context, r *wire.LookRequest) (*wire.LookReply, error) {
 	if r.GetFence() != 0 {
-		if higher := d.admit(graniteknot.Position(r.GetFence())); higher != 0 {
+		if higher := d.admitFence(graniteknot.Position(r.GetFence())); higher != 0 {
 			return &wire.LookReply{Fenced: int64(higher)}, nil
 		}
 		if own := r.GetOwnRank(); own > 0 {
-			d.note(graniteknot.Rank(own-1), Forecast{Skew: float64(r.GetSkew()), Loading: r.GetLoading(), Sequence: r.GetForecast()})
+			d.recordCoordinator(graniteknot.Rank(own-1), Forecast{Skew: float64(r.GetSkew()), Loading: r.GetLoading(), Sequence: r.GetForecast()})
 		}
 	}
 	report, err := d.Rank.Report(ctx)
@@ -139,56 +139,56 @@
 
 // Give implements wire.Ranks.
 func (d *Executor) Give(ctx context.Context, r *wire.GiveRequest) (*wire.GiveReply, error) {
-	if higher := d.admit(graniteknot.Position(r.GetFence())); higher != 0 {
+	if higher := d.admitFence(graniteknot.Position(r.GetFence())); higher != 0 {
 		return &wire.GiveReply{Result: int32(held.ResultFenced), Fenced: int64(higher)}, nil
 	}
-	c := commandOf(r)
+	c := commandFromWire(r)
 	if c.Kind == held.KindPrepare {
 		if c.Placement == nil {
-			base, ok := d.based(c.Epoch, r)
+			base, ok := d.placementFromMoves(c.Epoch, r)
 			if !ok {
 				return &wire.GiveReply{UnknownBase: true}, nil
 			}
 			c.Placement = base
 		}
-		d.maps.put(c.Epoch, c.Version, c.Placement)
+		d.recentMaps.add(c.Epoch, c.Version, c.Placement)
 	}
-	result := d.give(ctx, c)
+	result := d.execute(ctx, c)
 	return &wire.GiveReply{Result: int32(result)}, nil
 }
 
-// based returns the map that a request tells by how it differs from another one;
+// placementFromMoves returns the map that a request tells by how it differs from another one;
 // false when that one is unknown. The map that groups open with is known by its shape.
-func (d *Executor) based(e held.Epoch, r *wire.GiveRequest) (*planner.Placement, bool) {
+func (d *Executor) placementFromMoves(e held.Epoch, r *wire.GiveRequest) (*planner.Placement, bool) {
 	if r.GetBase() != 0 {
-		return d.maps.changed(e, held.Version(r.GetBase()), r.GetMoves())
+		return d.recentMaps.withMoves(e, held.Version(r.GetBase()), r.GetMoves())
 	}
 	s := planner.Shape{Layers: int(r.GetSets()), Experts: int(r.GetExperts()), Ranks: int(r.GetRanks()), Slots: int(r.GetPlaces())}
-	if !sound(s) {
+	if !validShape(s) {
 		return nil, false
 	}
-	return applied(planner.NewDealt(s), r.GetMoves())
+	return applyMoves(planner.NewDealt(s), r.GetMoves())
 }
 
-// mostPlaces bounds the places of a map that is told by its shape.
-const mostPlaces = 1 << 20
+// maxSlots bounds the places of a map that is told by its shape.
+const maxSlots = 1 << 20
 
-// sound tells whether a map may have a shape: every expert has a place.
-func sound(s planner.Shape) bool {
+// validShape tells whether a map may have a shape: every expert has a place.
+func validShape(s planner.Shape) bool {
 	if s.Layers <= 0 || s.Experts <= 0 || s.Ranks <= 0 || s.Slots <= 0 {
 		return false
 	}
-	if s.Layers > mostPlaces || s.Ranks > mostPlaces || s.Slots > mostPlaces || s.Layers*s.Ranks > mostPlaces || s.Layers*s.Ranks*s.Slots > mostPlaces {
+	if s.Layers > maxSlots || s.Ranks > maxSlots || s.Slots > maxSlots || s.Layers*s.Ranks > maxSlots || s.Layers*s.Ranks*s.Slots > maxSlots {
 		return false
 	}
 	return s.Experts <= s.Ranks*s.Slots
 }
 
-func (d *Executor) give(ctx context.Context, c *held.Command) held.Result {
-	ctx, cancel := context.WithTimeout(ctx, orderTime)
+func (d *Executor) execute(ctx context.Context, c *held.Command) held.Result {
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	began := time.Now()
-	result, tries, err := d.try(ctx, c)
+	result, tries, err := d.executeWithRetry(ctx, c)
 	d.Meter.Count("graniteknot_orders_total",
 		meter.Label{Name: "order", Value: c.Kind.String()}, meter.Label{Name: "result", Value: result.String()})
 	d.Meter.Observe("graniteknot_order_seconds", time.Since(began), meter.Label{Name: "order", Value: c.Kind.String()})
@@ -205,11 +205,11 @@
 	return result
 }
 
-// try gives an order until it is answered or the time is over.
-func (d *Executor) try(ctx context.Context, c *held.Command) (result held.Result, tries int, err error) {
+// executeWithRetry gives an order until it is answered or the time is over.
+func (d *Executor) executeWithRetry(ctx context.Context, c *held.Command) (result held.Result, tries int, err error) {
 	for {
 		tries++
-		result, err = tryOnce(ctx, d.Rank, c, tryTime)
+		result, err = orderOnce(ctx, d.Rank, c, attemptTimeout)
 		if result != held.ResultLost || ctx.Err() != nil {
 			return result, tries, err
 		}
--- a/internal/core/ranks/fence.go
+++ b/internal/core/ranks/fence.go
@@ -2,9 +2,9 @@
 
 import graniteknot "graniteknot.org/go"
 
-// lostClaims is by how many the claims that a drill loses are fewer: those of the seconds since
+// maxLostClaims is by how many the claims that a drill loses are fewer: those of the seconds since
 // the store's copy was taken. Maps are numbered by fences, so these stay short.
-const lostClaims = 1 << 10
+const maxLostClaims = 1 << 10
 
 // FenceOf returns the fence of a keeper's claim at a position: higher than those of all former
 // claims, also where the store came back from an older copy and gives offsets out again, from
@@ -12,5 +12,5 @@
 // would be obeyed until the topic had grown past its former end. Positions begin at 0, fences
 // at 1.
 func FenceOf(at graniteknot.Position) graniteknot.Position {
-	return graniteknot.Position(int64(at.Era())*lostClaims + at.Offset() + 1)
+	return graniteknot.Position(int64(at.Era())*maxLostClaims + at.Offset() + 1)
 }
--- a/internal/core/ranks/rig_test.go
+++ b/internal/core/ranks/fixture_test.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	passTime = 40 * time.Millisecond
-	loadTime = 100 * time.Millisecond
+	passTime       = 40 * time.Millisecond
+	expertLoadTime = 100 * time.Millisecond
 )
 
 var small = planner.Shape{Layers: 2, Experts: 12, Ranks: 4, Slots: 5}
@@ -35,7 +35,7 @@
 
 func newBench(s planner.Shape, seed uint64) *bench {
 	b := &bench{group: obeying.New(s, seed)}
-	b.group.Load = loadTime
+	b.group.Load = expertLoadTime
 	b.group.Like(uneven(s, seed))
 	for r := range s.Ranks {
 		b.doers = append(b.doers, &ranks.Executor{Rank: b.group.Rank(graniteknot.Rank(r)), PeerClient: b.sidecar})
@@ -99,7 +99,7 @@
 func (b *bench) experts() *catalog.Experts {
 	s := b.group.Shape
 	out := &catalog.Experts{Sets: s.Layers, Experts: s.Experts, Places: s.Slots, Spare: 2}
-	if b.group.Load > loadTime {
+	if b.group.Load > expertLoadTime {
 		const bandwidth = 1e9
 		out.Size, out.Bandwidth = graniteknot.Bytes(bandwidth*b.group.Load.Seconds()), bandwidth
 	}
--- a/internal/core/ranks/forecast.go
+++ b/internal/core/ranks/forecast.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// skewWeight is the weight of an interval in the skew that is told, and jump by
+	// skewSmoothing is the weight of an interval in the skew that is told, and jump by
 	// how much larger an interval's is to be told at once.
-	skewWeight = 0.4
-	jump       = 1.25
+	skewSmoothing = 0.4
+	skewJumpRatio = 1.25
 )
 
 // Forecast is what a keeper knows of how much longer than stated its group's passes
@@ -29,25 +29,25 @@
 // forecaster makes forecasts. The zero value knows nothing.
 type forecaster struct {
 	skew float64
-	// counted is when the newest counts were taken, mapping the map that they were
+	// countedAt is when the newest counts were taken, mapping the map that they were
 	// looked at under.
-	counted time.Time
-	mapping held.Version
+	countedAt time.Time
+	mapping   held.Version
 }
 
-// see takes in counts and the map in force, unless both are known.
-func (f *forecaster) see(w *window, p *planner.Placement, paces []float64, mapping held.Version) {
-	loads, at, ok := w.newest()
-	if !ok || p == nil || at.Equal(f.counted) && mapping == f.mapping {
+// observe takes in counts and the map in force, unless both are known.
+func (f *forecaster) observe(w *countWindow, p *planner.Placement, paces []float64, mapping held.Version) {
+	loads, at, ok := w.newestLoads()
+	if !ok || p == nil || at.Equal(f.countedAt) && mapping == f.mapping {
 		return
 	}
 	switched := mapping != f.mapping
-	f.counted, f.mapping = at, mapping
+	f.countedAt, f.mapping = at, mapping
 	skew := p.TimeSkew(loads, paces)
-	if switched || w.changed || skew > jump*f.skew {
+	if switched || w.shifted || skew > skewJumpRatio*f.skew {
 		f.skew = skew
 	} else {
-		f.skew += skewWeight * (skew - f.skew)
+		f.skew += skewSmoothing * (skew - f.skew)
 	}
 }
 
--- a/internal/core/ranks/pause.go
+++ b/internal/core/ranks/intervals.go
@@ -6,39 +6,39 @@
 	"graniteknot.org/go/expertmap/held"
 )
 
-// forRanks is by how much longer the keeper of a larger group pauses.
-func (k *Coordinator) forRanks() time.Duration {
-	if k.parts != nil {
-		return time.Duration(len(k.parts)) * rankTime
+// callPause is by how much longer the keeper of a larger group pauses.
+func (k *Coordinator) callPause() time.Duration {
+	if k.subtrees != nil {
+		return time.Duration(len(k.subtrees)) * perCallPause
 	}
-	return time.Duration(len(k.Members)) * rankTime
+	return time.Duration(len(k.Members)) * perCallPause
 }
 
 func (k *Coordinator) countPeriod() time.Duration {
 	if k.window.suspect {
-		return changedRound
+		return shiftInterval
 	}
-	return countRound
+	return countInterval
 }
 
-func (k *Coordinator) pause(p held.Phase) time.Duration {
+func (k *Coordinator) roundInterval(p held.Phase) time.Duration {
 	switch p {
 	case held.PhaseHolding, held.PhaseArming, held.PhaseReleasing:
-		return fastRound
+		return fastInterval
 	case held.PhasePreparing, held.PhaseArmed:
-		return slowRound + k.forRanks()
+		return slowInterval + k.callPause()
 	case held.PhaseIdle:
 		if k.window.suspect {
-			return changedRound
+			return shiftInterval
 		}
-		return planRound + k.forRanks()
+		return planInterval + k.callPause()
 	case held.PhaseClosed:
 	}
-	return idleRound
+	return incompleteInterval
 }
 
-// givingTime is how long it takes at most to tell all ranks of a large group a map.
-const givingTime = 150 * time.Millisecond
+// distributionTime is how long it takes at most to tell all ranks of a large group a map.
+const distributionTime = 150 * time.Millisecond
 
 // switching tells whether a map is being told to the ranks, or is about to be in force.
 // Sums of counts would hold that up on narrow links.
@@ -47,7 +47,7 @@
 	case held.PhaseHolding, held.PhaseArming, held.PhaseReleasing:
 		return true
 	case held.PhasePreparing:
-		return now.Sub(k.since) < givingTime
+		return now.Sub(k.phaseSince) < distributionTime
 	case held.PhaseClosed, held.PhaseIdle, held.PhaseArmed:
 	}
 	return false
--- a/internal/core/ranks/shift_test.go
+++ b/internal/core/ranks/load_shift_test.go
@@ -31,7 +31,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(shape, 1)
 		defer b.stop()
-		b.group.Load = 4 * loadTime
+		b.group.Load = 4 * expertLoadTime
 		var keeping group.Group
 		ctx, cancel := context.WithCancel(context.Background())
 		defer keeping.Wait()
--- a/internal/core/ranks/member.go
+++ b/internal/core/ranks/member.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// callTime bounds one call to a sidecar; TCP sends a lost packet again after
+	// callTimeout bounds one call to a sidecar; TCP sends a lost packet again after
 	// 200 ms at the earliest, and twice as long after that.
-	callTime = 700 * time.Millisecond
-	// hedgeTime is when a call that is not answered is made once more beside it.
+	callTimeout = 700 * time.Millisecond
+	// hedgeDelay is when a call that is not answered is made once more beside it.
 	// Sidecars answer much sooner, so by then a packet was lost or the sidecar does
 	// not run.
-	hedgeTime = 90 * time.Millisecond
-	// mostCalls bounds the same calls at a time.
-	mostCalls = 3
-	// directLag is how much older than its reading a rank's report is when it is
+	hedgeDelay = 90 * time.Millisecond
+	// maxSameCalls bounds the same calls at a time.
+	maxSameCalls = 3
+	// directReportLag is how much older than its reading a rank's report is when it is
 	// read from afar.
-	directLag = 400 * time.Millisecond
-	// sidecarPatience is how long a sidecar may be silent before its rank is
+	directReportLag = 400 * time.Millisecond
+	// sidecarSilenceLimit is how long a sidecar may be silent before its rank is
 	// reached from afar, which costs.
-	sidecarPatience = 400 * time.Millisecond
+	sidecarSilenceLimit = 400 * time.Millisecond
 )
 
 // Member is one rank as the keeper reaches it. Its calls go on in the
@@ -36,56 +36,56 @@
 	rank graniteknot.Rank
 	// clock is the keeper's.
 	clock graniteknot.AgeClock
-	// doer is the sidecar's calls.
-	doer wire.Ranks
+	// client is the sidecar's calls.
+	client wire.Ranks
 	// address is the sidecar's, for others to reach it; empty when it has none.
 	address graniteknot.Address
 	// zone is the sidecar's; empty is unknown.
 	zone graniteknot.AvailabilityZone
-	// part is the number of the part that the member of a large group is in.
-	part int
+	// subtreeIndex is the number of the subtreeIndex that the member of a large group is in.
+	subtreeIndex int
 	// direct is the rank itself, from afar; nil for none.
 	direct held.Rank
 	calls  group.Group
 
 	mu sync.Mutex
-	// last is the last look that was answered, which began at lookedAt.
-	last     seen
-	lookedAt time.Time
-	// heard is when the sidecar answered last, or was asked first.
-	heard time.Time
-	// under are the calls under way, with when the last of the same was made.
-	under map[call]underWay
-	// answered tells that the rank answered an order of this keeper.
-	answered bool
-	// fenced is the highest fence of another keeper that was heard of.
-	fenced graniteknot.Position
-}
-
-// call tells calls apart: a look, or an order.
-type call struct {
+	// latest is the latest look that was answered, which began at lookedAt.
+	latest   snapshot
+	latestAt time.Time
+	// heardAt is when the sidecar answered last, or was asked first.
+	heardAt time.Time
+	// inFlight are the calls inFlight way, with when the last of the same was made.
+	inFlight map[callKey]inFlightCalls
+	// fenceAccepted tells that the rank fenceAccepted an order of this keeper.
+	fenceAccepted bool
+	// foreignFence is the highest fence of another keeper that was heard of.
+	foreignFence graniteknot.Position
+}
+
+// callKey tells calls apart: a look, or an order.
+type callKey struct {
 	look  bool
 	order held.Order
 }
 
-// underWay counts the same calls at a time.
-type underWay struct {
-	count int
-	made  time.Time
+// inFlightCalls counts the same calls at a time.
+type inFlightCalls struct {
+	count       int
+	lastStarted time.Time
 }
 
 // begin notes one more; false when enough are under way.
-func (u *underWay) begin(now time.Time) bool {
-	if u.count >= mostCalls || u.count > 0 && now.Sub(u.made) < hedgeTime {
+func (u *inFlightCalls) begin(now time.Time) bool {
+	if u.count >= maxSameCalls || u.count > 0 && now.Sub(u.lastStarted) < hedgeDelay {
 		return false
 	}
 	u.count++
-	u.made = now
+	u.lastStarted = now
 	return true
 }
 
-// seen is one look at a rank.
-type seen struct {
+// snapshot is one look at a rank.
+type snapshot struct {
 	state  held.State
 	counts []uint64
 	lists  [][]graniteknot.Expert
@@ -97,63 +97,63 @@
 // the sidecar is silent, from afar; direct may be nil. The address is where other
 // sidecars reach the sidecar; empty for one that they can't.
 func NewMember(r graniteknot.Rank, doer wire.Ranks, address graniteknot.Address, direct held.Rank) *Member {
-	return &Member{rank: r, doer: doer, address: address, direct: direct, under: map[call]underWay{}}
+	return &Member{rank: r, client: doer, address: address, direct: direct, inFlight: map[callKey]inFlightCalls{}}
 }
 
-// begin notes a call that is to be made now; false when enough of the same are
+// beginCall notes a call that is to be made now; false when enough of the same are
 // under way.
-func (m *Member) begin(c call, now time.Time) bool {
+func (m *Member) beginCall(c callKey, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.heard.IsZero() {
-		m.heard = now
+	if m.heardAt.IsZero() {
+		m.heardAt = now
 	}
-	u := m.under[c]
+	u := m.inFlight[c]
 	if !u.begin(now) {
 		return false
 	}
-	m.under[c] = u
+	m.inFlight[c] = u
 	return true
 }
 
-func (m *Member) end(c call) {
+func (m *Member) endCall(c callKey) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	u := m.under[c]
+	u := m.inFlight[c]
 	u.count--
-	m.under[c] = u
+	m.inFlight[c] = u
 	if u.count == 0 {
-		delete(m.under, c)
+		delete(m.inFlight, c)
 	}
 }
 
 // look begins to read the rank, and calls done when that has ended.
 func (m *Member) look(r *wire.LookRequest, now time.Time, done func()) {
-	c := call{look: true}
-	if !m.begin(c, now) {
+	c := callKey{look: true}
+	if !m.beginCall(c, now) {
 		return
 	}
 	m.calls.Go(func(ctx context.Context) {
 		defer done()
-		defer m.end(c)
-		ctx, cancel := context.WithTimeout(ctx, callTime)
+		defer m.endCall(c)
+		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		if m.silent(now) {
+		if m.sidecarSilent(now) {
 			m.lookDirect(ctx, r.GetLists(), now)
 			return
 		}
-		reply, err := m.doer.Look(ctx, r)
+		reply, err := m.client.Look(ctx, r)
 		if err == nil {
-			m.take(reply, now)
+			m.recordReply(reply, now)
 		}
 	})
 }
 
-// silent tells whether the sidecar has not answered for too long.
-func (m *Member) silent(now time.Time) bool {
+// sidecarSilent tells whether the sidecar has not answered for too long.
+func (m *Member) sidecarSilent(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.direct != nil && now.Sub(m.heard) > sidecarPatience
+	return m.direct != nil && now.Sub(m.heardAt) > sidecarSilenceLimit
 }
 
 // lookDirect reads the rank from afar, with what it holds of the map in force if
@@ -164,69 +164,69 @@
 	if err != nil {
 		return
 	}
-	s := seen{state: report.State, pace: report.Pace}
+	s := snapshot{state: report.State, pace: report.Pace}
 	if lists {
 		if s.lists, err = m.direct.Lists(ctx); err != nil {
 			return
 		}
 	}
-	m.store(s, began.Add(-directLag))
+	m.storeSnapshot(s, began.Add(-directReportLag))
 }
 
 // ping finds out whether a silent sidecar answers again.
 func (m *Member) ping(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if _, err := m.doer.Look(ctx, &wire.LookRequest{}); err == nil {
+	if _, err := m.client.Look(ctx, &wire.LookRequest{}); err == nil {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.heard = m.clock.Now()
+		m.heardAt = m.clock.Now()
 	}
 }
 
-func (m *Member) take(reply *wire.LookReply, began time.Time) {
+func (m *Member) recordReply(reply *wire.LookReply, began time.Time) {
 	m.mu.Lock()
-	m.heard = m.clock.Now()
-	m.fenced = max(m.fenced, graniteknot.Position(reply.GetFenced()))
+	m.heardAt = m.clock.Now()
+	m.foreignFence = max(m.foreignFence, graniteknot.Position(reply.GetFenced()))
 	m.mu.Unlock()
 	if reply.GetFenced() == 0 {
-		m.store(seen{state: stateOf(reply.GetState()), counts: reply.GetCounts(), lists: listsOf(reply.GetLists()), pace: reply.GetPace()}, began)
+		m.storeSnapshot(snapshot{state: stateFromWire(reply.GetState()), counts: reply.GetCounts(), lists: listsFromWire(reply.GetLists()), pace: reply.GetPace()}, began)
 	}
 }
 
-// store keeps a look unless a later one was answered before.
-func (m *Member) store(s seen, began time.Time) {
+// storeSnapshot keeps a look unless a later one was answered before.
+func (m *Member) storeSnapshot(s snapshot, began time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if began.Before(m.lookedAt) {
+	if began.Before(m.latestAt) {
 		return
 	}
 	if s.lists == nil {
-		s.lists = m.last.lists
+		s.lists = m.latest.lists
 	}
 	if s.counts == nil {
-		s.counts = m.last.counts
+		s.counts = m.latest.counts
 	}
-	m.last, m.lookedAt = s, began
+	m.latest, m.latestAt = s, began
 }
 
-// shown returns the last look and when it began; zero before the first.
-func (m *Member) shown() (seen, time.Time) {
+// lastSnapshot returns the last look and when it began; zero before the first.
+func (m *Member) lastSnapshot() (snapshot, time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.last, m.lookedAt
+	return m.latest, m.latestAt
 }
 
 // knowsFence tells whether the rank takes no more orders of former keepers.
 func (m *Member) knowsFence() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.answered
+	return m.fenceAccepted
 }
 
 // otherFence returns the highest fence of another keeper that was heard of.
 func (m *Member) otherFence() graniteknot.Position {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.fenced
+	return m.foreignFence
 }
--- a/internal/core/ranks/moves.go
+++ b/internal/core/ranks/recent_maps.go
@@ -8,55 +8,55 @@
 	"graniteknot.org/go/planner"
 )
 
-// mostMaps is how many maps a sidecar remembers: the one in force, and those that
+// maxRecentMaps is how many maps a sidecar remembers: the one in force, and those that
 // it was told to prepare since.
-const mostMaps = 3
+const maxRecentMaps = 3
 
-// maps remembers the maps that a sidecar was told, so that the next one can be
+// recentMaps remembers the recentMaps that a sidecar was told, so that the next one can be
 // told by how it differs.
-type maps struct {
-	mu    sync.Mutex
-	known []knownMap
+type recentMaps struct {
+	mu      sync.Mutex
+	entries []recentMap
 }
 
-type knownMap struct {
+type recentMap struct {
 	epoch     held.Epoch
 	version   held.Version
 	placement *planner.Placement
 }
 
-// put remembers a map.
-func (m *maps) put(e held.Epoch, v held.Version, p *planner.Placement) {
+// add remembers a map.
+func (m *recentMaps) add(e held.Epoch, v held.Version, p *planner.Placement) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.known = append(m.known, knownMap{e, v, p})
-	if len(m.known) > mostMaps {
-		m.known = m.known[1:]
+	m.entries = append(m.entries, recentMap{e, v, p})
+	if len(m.entries) > maxRecentMaps {
+		m.entries = m.entries[1:]
 	}
 }
 
-// changed returns a remembered map with changes; false when it is unknown, or
+// withMoves returns a remembered map with changes; false when it is unknown, or
 // the changes do not fit it.
-func (m *maps) changed(e held.Epoch, base held.Version, moves []int32) (*planner.Placement, bool) {
+func (m *recentMaps) withMoves(e held.Epoch, base held.Version, moves []int32) (*planner.Placement, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, k := range m.known {
+	for _, k := range m.entries {
 		if k.epoch == e && k.version == base {
-			return applied(k.placement, moves)
+			return applyMoves(k.placement, moves)
 		}
 	}
 	return nil, false
 }
 
-// moveWidth is how many numbers tell one move: how many places are the same before
+// intsPerMove is how many numbers tell one move: how many places are the same before
 // it, and the expert. Most of the first take a byte, the second one or two.
-const moveWidth = 2
+const intsPerMove = 2
 
-func applied(p *planner.Placement, moves []int32) (*planner.Placement, bool) {
+func applyMoves(p *planner.Placement, moves []int32) (*planner.Placement, bool) {
 	next := p.Clone()
 	s := p.Shape
 	at := 0
-	for ; len(moves) >= moveWidth; moves = moves[moveWidth:] {
+	for ; len(moves) >= intsPerMove; moves = moves[intsPerMove:] {
 		same, expert := int(moves[0]), int(moves[1])
 		if same < 0 || same >= s.Layers*s.Ranks*s.Slots-at || expert >= s.Experts {
 			return nil, false
@@ -71,8 +71,8 @@
 	return next, true
 }
 
-// difference tells how a map differs from another of the same shape.
-func difference(from, to *planner.Placement) []int32 {
+// diffMoves tells how a map differs from another of the same shape.
+func diffMoves(from, to *planner.Placement) []int32 {
 	var out []int32
 	same := int32(0)
 	s := to.Shape
--- a/internal/core/ranks/moves_test.go
+++ b/internal/core/ranks/recent_maps_test.go
@@ -35,7 +35,7 @@
 		if reply := give(whole); held.Result(reply.GetResult()) != held.ResultDone {
 			t.Fatalf("%v", reply)
 		}
-		time.Sleep(10 * loadTime)
+		time.Sleep(10 * expertLoadTime)
 		// Expert 11 to rank 1's fourth place in the second set: behind the 20 places of
 		// the first set, the five of rank 0 and three of its own.
 		moved := &wire.GiveRequest{Version: 2, Base: 1, Moves: []int32{28, 11}}
--- a/internal/core/ranks/relay.go
+++ b/internal/core/ranks/relay.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// relayLook and relayGive bound the calls that a sidecar makes for a keeper.
+	// relayLookTimeout and relayGive bound the calls that a sidecar makes for a keeper.
 	// An order has all its tries in the time. relayStep is added where the sidecar
 	// that is called has to call others.
-	relayLook = 150 * time.Millisecond
-	relayGive = orderTime + 50*time.Millisecond
-	relayStep = 50 * time.Millisecond
+	relayLookTimeout = 150 * time.Millisecond
+	relayGiveTimeout = orderTimeout + 50*time.Millisecond
+	relayHopTimeout  = 50 * time.Millisecond
 )
 
 // LookAll implements wire.Ranks.
 func (d *Executor) LookAll(ctx context.Context, r *wire.LookAllRequest) (*wire.LookAllReply, error) {
-	var all alikes
+	var all lookMerger
 	var asked group.Group
 	place := int32(1)
-	for _, branch := range branches(r.GetSidecars()) {
+	for _, branch := range splitBranches(r.GetSidecars()) {
 		first := place
 		place += int32(len(branch))
 		asked.Go(func(context.Context) { d.lookBranch(ctx, r.GetLook(), branch, first, &all) })
@@ -38,17 +38,17 @@
 
 // lookBranch looks at the ranks of a branch, which are at the places from the first
 // on.
-func (d *Executor) lookBranch(ctx context.Context, look *wire.LookRequest, branch []string, first int32, all *alikes) {
-	peer := d.peer(branch[0])
+func (d *Executor) lookBranch(ctx context.Context, look *wire.LookRequest, branch []string, first int32, all *lookMerger) {
+	peer := d.peerClient(branch[0])
 	if len(branch) == 1 {
-		short, cancel := context.WithTimeout(ctx, relayLook)
+		short, cancel := context.WithTimeout(ctx, relayLookTimeout)
 		defer cancel()
 		if reply, err := peer.Look(short, look); err == nil {
 			all.add(reply, first)
 		}
 		return
 	}
-	long, cancel := context.WithTimeout(ctx, relayLook+relayStep)
+	long, cancel := context.WithTimeout(ctx, relayLookTimeout+relayHopTimeout)
 	defer cancel()
 	reply, err := peer.LookAll(long, &wire.LookAllRequest{Look: look, Sidecars: branch[1:]})
 	if err != nil {
@@ -68,12 +68,12 @@
 	out := &wire.GiveAllReply{Replies: make([]*wire.GiveReply, len(r.GetSidecars())+1)}
 	var asked group.Group
 	place := 1
-	for _, branch := range branches(r.GetSidecars()) {
+	for _, branch := range splitBranches(r.GetSidecars()) {
 		replies := out.Replies[place : place+len(branch)]
 		place += len(branch)
 		asked.Go(func(context.Context) { d.giveBranch(ctx, r.GetGive(), branch, replies) })
 	}
-	out.Replies[0] = orLost(d.Give(ctx, r.GetGive()))
+	out.Replies[0] = replyOrLost(d.Give(ctx, r.GetGive()))
 	asked.Wait()
 	return out, nil
 }
@@ -81,16 +81,16 @@
 // giveBranch gives an order to the ranks of a branch.
 func (d *Executor) giveBranch(ctx context.Context, give *wire.GiveRequest, branch []string, replies []*wire.GiveReply) {
 	for i := range replies {
-		replies[i] = lost()
+		replies[i] = lostReply()
 	}
-	peer := d.peer(branch[0])
+	peer := d.peerClient(branch[0])
 	if len(branch) == 1 {
-		short, cancel := context.WithTimeout(ctx, relayGive)
+		short, cancel := context.WithTimeout(ctx, relayGiveTimeout)
 		defer cancel()
-		replies[0] = orLost(peer.Give(short, give))
+		replies[0] = replyOrLost(peer.Give(short, give))
 		return
 	}
-	long, cancel := context.WithTimeout(ctx, relayGive+relayStep)
+	long, cancel := context.WithTimeout(ctx, relayGiveTimeout+relayHopTimeout)
 	defer cancel()
 	reply, err := peer.GiveAll(long, &wire.GiveAllRequest{Give: give, Sidecars: branch[1:]})
 	if err == nil && len(reply.GetReplies()) == len(replies) {
@@ -98,11 +98,11 @@
 	}
 }
 
-func lost() *wire.GiveReply { return &wire.GiveReply{Result: int32(held.ResultLost)} }
+func lostReply() *wire.GiveReply { return &wire.GiveReply{Result: int32(held.ResultLost)} }
 
-func orLost(reply *wire.GiveReply, err error) *wire.GiveReply {
+func replyOrLost(reply *wire.GiveReply, err error) *wire.GiveReply {
 	if err != nil || reply == nil {
-		return lost()
+		return lostReply()
 	}
 	return reply
 }
--- a/internal/core/ranks/threshold.go
+++ b/internal/core/ranks/threshold.go
@@ -15,23 +15,23 @@
 const (
 	idleThreshold = 0.16
 	busyThreshold = 0.09
-	// idleShare and busyShare are the parts of the pause that passes take below
+	// idlePassFraction and busyShare are the parts of the pause that passes take below
 	// and above which the thresholds are these; between them it is in between.
-	idleShare = 0.35
-	busyShare = 0.60
+	idlePassFraction = 0.35
+	busyPassFraction = 0.60
 )
 
-// switchGain is what a map has to gain in the skew of each set, beyond its moves,
+// minSwitchGain is what a map has to gain in the skew of each set, beyond its moves,
 // to be worth a switch: one takes part of a second in which nothing else can be
 // switched to, and some passes wait for it. In large groups the moves alone would make
 // a switch worth it at next to no gain.
-const switchGain = 0.06
+const minSwitchGain = 0.06
 
 // The group that the thresholds stand for.
 const (
-	measuredSize  = 2_200_000_000
-	measuredRanks = 12
-	measuredSets  = 4
+	referenceExpertSize = 2_200_000_000
+	referenceRanks      = 12
+	referenceSets       = 4
 )
 
 // relativeCost is what loading an expert costs against what skew costs, compared
@@ -41,7 +41,7 @@
 	if e.Size <= 0 {
 		return 1
 	}
-	return float64(e.Size) / measuredSize * measuredRanks / float64(ranks) * float64(e.Sets) / measuredSets
+	return float64(e.Size) / referenceExpertSize * referenceRanks / float64(ranks) * float64(e.Sets) / referenceSets
 }
 
 // threshold returns what one loaded expert has to gain, for how long passes take.
@@ -50,6 +50,6 @@
 		return busyThreshold
 	}
 	share := float64(pass) / float64(gap)
-	at := min(max((share-idleShare)/(busyShare-idleShare), 0), 1)
+	at := min(max((share-idlePassFraction)/(busyPassFraction-idlePassFraction), 0), 1)
 	return idleThreshold + at*(busyThreshold-idleThreshold)
 }
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -108,11 +108,11 @@
 		Package: "platform", Test: "TestFollowerAcrossADrill",
 	},
 	{
-		Name: "fences forget the era", File: "internal/core/ranks/fence.go", Old: "int64(at.Era())*lostClaims + ", New: "",
+		Name: "the fencing token leaves out the store era", File: "internal/core/ranks/fence.go", Old: "int64(at.Era())*maxLostClaims + ", New: "",
 		Package: "internal/core/ranks", Test: "TestFencesRiseOverEras", Arguments: []string{"-rapid.nofailfile"},
 	},
 	{
-		Name: "a keeper of a new era has a lower fence", File: "internal/core/ranks/fence.go", Old: "int64(at.Era())*lostClaims + ", New: "",
+		Name: "the first coordinator of a new store era has a lower fencing token", File: "internal/core/ranks/fence.go", Old: "int64(at.Era())*maxLostClaims + ", New: "",
 		Package: "internal/core/ranks", Test: "TestKeepersAcrossADrill", Says: "gave way", Arguments: []string{"-rapid.nofailfile"},
 	},
 	{
