--- a/internal/core/mapkeeper/loop.go
+++ b/internal/core/mapkeeper/loop.go
@@ -1,7 +1,7 @@
-// Package mapkeeper keeps one rank group's expert map: at each period it takes
-// in token counts, plans, and switches the group batch by batch. Deciding what
-// to move is left to package planner, switching to package expertmap, and
-// reaching the ranks to its user.
+// Package mapkeeper maintains one rank group's expert map: which rank holds which experts.
+// In each period it reads token counts, plans moves and switches the group batch by batch.
+// Package planner chooses the moves, package expertmap holds the switching protocol, and
+// the caller provides the transport to the ranks.
 package mapkeeper
 
 import (
@@ -15,31 +15,31 @@
 )
 
 const (
-	// resendPeriod is how often unanswered messages are sent again.
-	resendPeriod = 20 * time.Millisecond
-	// switchTime bounds one switch before it is given up.
-	switchTime = 5 * time.Second
+	// resendInterval is the time between retransmissions of unanswered messages.
+	resendInterval = 20 * time.Millisecond
+	// switchTimeout is the time after which a switch is given up.
+	switchTimeout = 5 * time.Second
 )
 
-// Transport reaches the ranks of a group.
+// Transport carries messages to the ranks of a group and provides their token counts.
 type Transport interface {
-	// Send brings a message to its rank and returns the answer, if there is
-	// one now.
+	// Send delivers a message to its rank and returns the answer; false when there is none
+	// yet.
 	Send(m expertmap.Message) (expertmap.Message, bool)
-	// Offer makes a map known, so that ranks can load it.
+	// Offer makes a map available for ranks to load.
 	Offer(v expertmap.Version, p *planner.Placement)
-	// Counts returns the tokens of each expert since the last call.
+	// Counts returns how many tokens each expert got since the last call.
 	Counts() planner.Loads
 }
 
-// Loop keeps one group's map. Set the exported fields.
+// Loop maintains one group's map. Set the exported fields.
 type Loop struct {
 	Transport   Transport
 	Planner     *planner.Planner
 	Coordinator *expertmap.Keeper
-	// Placement is the map in force at the begin.
+	// Placement is the map in force. Set it to the initial one.
 	Placement *planner.Placement
-	// Weights returns what skew and moving weigh now; nil leaves the planner's.
+	// Weights returns the current weights of skew and of moves; nil keeps the planner's.
 	Weights func() planner.Weights
 	// PlanInterval is the time between plans.
 	PlanInterval time.Duration
@@ -49,13 +49,13 @@
 	switches, abandoned, moves atomic.Int64
 }
 
-// Stats is what a loop did.
+// Stats counts switches, those that were given up, the expert moves sent, and their size.
 type Stats struct {
 	Switches, Abandoned, Moves int64
 	Bytes                      graniteknot.Bytes
 }
 
-// Stats returns what the loop did.
+// Stats returns the counts since the loop was started.
 func (l *Loop) Stats() Stats {
 	moves := l.moves.Load()
 	return Stats{
@@ -64,9 +64,9 @@
 	}
 }
 
-// Run keeps the map until ctx is done.
+// Run maintains the map until ctx is done.
 func (l *Loop) Run(ctx context.Context) {
-	l.settle(ctx, l.Coordinator.Tick())
+	l.runToIdle(ctx, l.Coordinator.Tick())
 	ticker := time.NewTicker(l.PlanInterval)
 	defer ticker.Stop()
 	for {
@@ -75,17 +75,18 @@
 			return
 		case <-ticker.C:
 		}
-		l.replace(ctx)
+		l.adoptReplacedRank(ctx)
 		l.plan(ctx)
 	}
 }
 
-// replace follows up when a rank was replaced by one that knows nothing.
-func (l *Loop) replace(ctx context.Context) {
+// adoptReplacedRank adopts all ranks under a higher incarnation if one was replaced by a
+// rank without state.
+func (l *Loop) adoptReplacedRank(ctx context.Context) {
 	l.exchange(l.Coordinator.Tick())
-	if born, lost := l.Coordinator.Stranger(); lost {
-		next := max(born, graniteknot.NewIncarnation(time.Now())) + 1
-		l.settle(ctx, l.Coordinator.Adopt(next))
+	if incarnation, replaced := l.Coordinator.Stranger(); replaced {
+		next := max(incarnation, graniteknot.NewIncarnation(time.Now())) + 1
+		l.runToIdle(ctx, l.Coordinator.Adopt(next))
 	}
 }
 
@@ -97,13 +98,13 @@
 	plan := l.Planner.Plan(l.Placement)
 	for _, b := range plan.Batches {
 		if !l.switchTo(ctx, b) {
-			// What was planned on top of it does not fit any more.
+			// Later batches build on the one that failed.
 			return
 		}
 	}
 }
 
-// switchTo brings one batch into force.
+// switchTo brings one batch into force. It reports whether that succeeded.
 func (l *Loop) switchTo(ctx context.Context, b planner.Batch) bool {
 	next := l.Placement.Clone()
 	next.Apply(b)
@@ -114,7 +115,7 @@
 		return false
 	}
 	l.moves.Add(int64(len(b.Moves)))
-	l.settle(ctx, messages)
+	l.runToIdle(ctx, messages)
 	if l.Coordinator.Current() != version {
 		l.abandoned.Add(1)
 		return false
@@ -124,13 +125,13 @@
 	return true
 }
 
-// settle exchanges messages until the keeper is idle, giving a switch up that
+// runToIdle exchanges messages until the coordinator is idle, and gives up a switch that
 // takes too long.
-func (l *Loop) settle(ctx context.Context, messages []expertmap.Message) {
+func (l *Loop) runToIdle(ctx context.Context, messages []expertmap.Message) {
 	l.exchange(messages)
-	timer := time.NewTimer(switchTime)
+	timer := time.NewTimer(switchTimeout)
 	defer timer.Stop()
-	ticker := time.NewTicker(resendPeriod)
+	ticker := time.NewTicker(resendInterval)
 	defer ticker.Stop()
 	for l.Coordinator.Phase() != expertmap.PhaseIdle {
 		select {
