--- a/internal/core/ranks/convert.go
+++ b/internal/core/ranks/convert.go
@@ -64,7 +64,7 @@
 	if ranks <= 0 || places <= 0 || len(r.GetPlacement())%(ranks*places) != 0 {
 		return nil
 	}
-	// Every expert has a place, so the highest tells how many there are.
+	// Every expert has a slot, so the highest number gives the count of experts.
 	experts := int(slices.Max(r.GetPlacement())) + 1
 	if experts > ranks*places {
 		return nil
@@ -85,7 +85,7 @@
 	return p
 }
 
-// commandToWire is the inverse of commandOf.
+// commandToWire is the inverse of commandFromWire.
 func commandToWire(c *held.Command) *wire.GiveRequest {
 	r := &wire.GiveRequest{
 		Fence: int64(c.Fence), Kind: int32(c.Kind), Version: int64(c.Version), Step: uint64(c.Step), Epoch: int64(c.Epoch),
--- a/internal/core/ranks/datagram.go
+++ b/internal/core/ranks/datagram.go
@@ -12,36 +12,38 @@
 	"graniteknot.org/go/internal/wire"
 )
 
-// The questions that sidecars ask each other by datagrams.
+// Datagram kinds of the calls between sidecars.
 const (
 	kindLook presence.Kind = 1
 	kindGive presence.Kind = 2
-	// The same of a part of a group.
+	// Calls that the receiver relays to a subtree.
 	kindLookAll presence.Kind = 3
 	kindGiveAll presence.Kind = 4
 )
 
-// DatagramClient asks another process by a datagram; presence.Socket is one.
+// DatagramClient sends a request to another process in a datagram and returns its reply;
+// presence.Socket implements it.
 type DatagramClient interface {
-	Ask(ctx context.Context, to graniteknot.Address, kind presence.Kind, body []byte) ([]byte, error)
+	Ask(ctx context.Context, address graniteknot.Address, kind presence.Kind, body []byte) ([]byte, error)
 }
 
-// datagramRanks makes the calls by datagramRanks that fit into one: on the small boxes
-// of targets one costs a fraction of a call over HTTP, and a keeper makes
-// hundreds a second. What does not fit goes over HTTP. A datagram that is lost
-// looks like a sidecar that does not answer; the keeper asks again.
+// datagramRanks sends calls in datagrams. On the small boxes of targets a datagram costs a
+// fraction of an HTTP call, and a coordinator makes hundreds of calls a second. A message
+// that does not fit into a datagram goes over HTTP. A lost datagram looks like an
+// unresponsive sidecar; the coordinator retries.
 type datagramRanks struct {
 	wire.Ranks
 	client  DatagramClient
 	address graniteknot.Address
 }
 
-// overDatagrams returns the calls of the sidecar at an address.
-func overDatagrams(asker DatagramClient, to graniteknot.Address, http wire.Ranks) wire.Ranks {
-	if asker == nil {
+// overDatagrams returns a client for the sidecar at an address, which falls back to http. A
+// nil datagram client uses http only.
+func overDatagrams(client DatagramClient, address graniteknot.Address, http wire.Ranks) wire.Ranks {
+	if client == nil {
 		return http
 	}
-	return &datagramRanks{Ranks: http, client: asker, address: to}
+	return &datagramRanks{Ranks: http, client: client, address: address}
 }
 
 // Look implements wire.Ranks.
@@ -90,35 +92,35 @@
 	return reply, err
 }
 
-func (d *datagramRanks) call(ctx context.Context, kind presence.Kind, question, reply proto.Message) error {
-	body, err := proto.Marshal(question)
+func (d *datagramRanks) call(ctx context.Context, kind presence.Kind, request, reply proto.Message) error {
+	body, err := proto.Marshal(request)
 	if err != nil {
 		return err
 	}
-	answer, err := d.client.Ask(ctx, d.address, kind, body)
+	response, err := d.client.Ask(ctx, d.address, kind, body)
 	if err != nil {
 		return err
 	}
-	return proto.Unmarshal(answer, reply)
+	return proto.Unmarshal(response, reply)
 }
 
-// ServeDatagram answers the questions of other sidecars; it is for presence.Socket's
-// Respond.
-func (d *Executor) ServeDatagram(ctx context.Context, kind presence.Kind, body []byte) ([]byte, error) {
+// ServeDatagram handles a call from another sidecar. It is registered with
+// presence.Socket's Respond.
+func (e *Executor) ServeDatagram(ctx context.Context, kind presence.Kind, body []byte) ([]byte, error) {
 	switch kind {
 	case kindLook:
-		return serveCall(ctx, body, &wire.LookRequest{}, d.Look)
+		return serveCall(ctx, body, &wire.LookRequest{}, e.Look)
 	case kindGive:
-		return serveCall(ctx, body, &wire.GiveRequest{}, d.Give)
+		return serveCall(ctx, body, &wire.GiveRequest{}, e.Give)
 	case kindLookAll:
-		return serveCall(ctx, body, &wire.LookAllRequest{}, d.LookAll)
+		return serveCall(ctx, body, &wire.LookAllRequest{}, e.LookAll)
 	case kindGiveAll:
-		return serveCall(ctx, body, &wire.GiveAllRequest{}, d.GiveAll)
+		return serveCall(ctx, body, &wire.GiveAllRequest{}, e.GiveAll)
 	}
-	return nil, fmt.Errorf("a question of unknown kind %d", kind)
+	return nil, fmt.Errorf("unknown datagram kind %d", kind)
 }
 
-// serveCall makes a call whose request and reply are bodies of datagrams.
+// serveCall decodes a request from a datagram, makes the call and encodes its reply.
 func serveCall[Q, R proto.Message](ctx context.Context, body []byte, request Q, call func(context.Context, Q) (R, error)) ([]byte, error) {
 	if err := proto.Unmarshal(body, request); err != nil {
 		return nil, err
--- a/internal/core/ranks/discover.go
+++ b/internal/core/ranks/discover.go
@@ -13,61 +13,62 @@
 )
 
 const (
-	// sidecarProbeTimeout bounds the question to a sidecar which rank is its own. One that
-	// does not answer is gone around.
+	// sidecarProbeTimeout bounds the probe of a sidecar; without an answer its rank is
+	// probed directly.
 	sidecarProbeTimeout = 150 * time.Millisecond
-	// rankProbeTimeout bounds the same question to a rank from afar.
+	// rankProbeTimeout bounds the direct probe of a remote rank.
 	rankProbeTimeout = 200 * time.Millisecond
 )
 
-// Endpoint is where a sidecar and its rank are.
+// Endpoint holds the addresses of a sidecar and its rank.
 type Endpoint struct {
 	Sidecar, Target graniteknot.Address
 	Zone            graniteknot.AvailabilityZone
 }
 
-// Discovery is what a search for a group's ranks has shown.
+// Discovery is the result of Discover.
 type Discovery struct {
-	// Members are the ranks, in order; nil where none was found.
+	// Members are indexed by rank; nil for a rank that was not found.
 	Members []*Member
-	// Complete tells that there is one for each rank.
+	// Complete reports whether every rank was found.
 	Complete bool
-	// HeardCoordinator is how many sidecars heard from a keeper within the time that was named,
-	// Answered how many answered.
+	// Answered counts the sidecars that answered, HeardCoordinator those of them that heard
+	// from a coordinator recently.
 	HeardCoordinator, Answered int
 }
 
-// Discover asks sidecars which rank is theirs, and ranks whose sidecars do not
-// answer which they are, and how many sidecars heard from a keeper lately.
+// Discover probes sidecars, and the ranks of those that do not answer, to find the members
+// of a group and how many sidecars have heard from a coordinator within the duration
+// recent.
 //
-// The former keeper's rank need not answer: where it alone is lacking, and one
-// place alone does not answer, it is taken to be there. Pass a negative rank for
-// none. An asker reaches sidecars by datagrams; nil for over HTTP only.
-func Discover(ctx context.Context, name held.GroupName, size int, former graniteknot.Rank, lately time.Duration, places []Endpoint, asker DatagramClient, reach func(graniteknot.Address) held.Rank) Discovery {
+// The former coordinator's rank need not answer: if it is the only one missing and only one
+// endpoint does not answer, it is assumed to be there. Pass a negative rank for none. A nil
+// datagram client selects HTTP only.
+func Discover(ctx context.Context, name held.GroupName, size int, former graniteknot.Rank, recent time.Duration, endpoints []Endpoint, datagrams DatagramClient, direct func(graniteknot.Address) held.Rank) Discovery {
 	if size <= 0 {
 		return Discovery{}
 	}
-	client := &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: maxSameCalls}}
-	found := make([]*Member, len(places))
-	answers := make([]probeResult, len(places))
-	var all group.Group
-	for i, place := range places {
-		all.Go(func(context.Context) {
-			doer := overDatagrams(asker, place.Sidecar, wire.NewRanksProtobufClient("http://"+string(place.Sidecar), client))
-			direct := reach(place.Target)
-			answers[i] = probe(ctx, name, doer, direct)
-			found[i] = NewMember(answers[i].rank, doer, place.Sidecar, direct)
-			found[i].zone = place.Zone
+	httpClient := &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: maxSameCalls}}
+	probed := make([]*Member, len(endpoints))
+	results := make([]probeResult, len(endpoints))
+	var probes group.Group
+	for i, endpoint := range endpoints {
+		probes.Go(func(context.Context) {
+			client := overDatagrams(datagrams, endpoint.Sidecar, wire.NewRanksProtobufClient("http://"+string(endpoint.Sidecar), httpClient))
+			rank := direct(endpoint.Target)
+			results[i] = probe(ctx, name, client, rank)
+			probed[i] = NewMember(results[i].rank, client, endpoint.Sidecar, rank)
+			probed[i].zone = endpoint.Zone
 		})
 	}
-	all.Wait()
+	probes.Wait()
 	out := Discovery{Members: make([]*Member, size)}
-	for _, a := range answers {
-		out.countAnswer(a, lately)
+	for _, a := range results {
+		out.countAnswer(a, recent)
 	}
 	members := out.Members
 	var silent []*Member
-	for _, m := range found {
+	for _, m := range probed {
 		switch {
 		case m.rank >= 0 && int(m.rank) < size:
 			members[m.rank] = m
@@ -83,64 +84,65 @@
 	return out
 }
 
-// minHeardFraction is the part of a group's sidecars that have heard from the keeper of late
-// for it to be alive. A keeper that reaches fewer than half of its ranks can't switch
-// their map.
+// minHeardFraction is the fraction of answering sidecars that must have heard from the
+// coordinator recently for it to count as alive. A coordinator that reaches fewer than half
+// of its ranks can't switch their map.
 const minHeardFraction = 0.5
 
-// CoordinatorAlive tells whether a keeper is heard by enough of the group to be alive.
-func (f *Discovery) CoordinatorAlive() bool {
-	return f.Answered > 0 && float64(f.HeardCoordinator) >= minHeardFraction*float64(f.Answered)
+// CoordinatorAlive reports whether enough of the group has heard from a coordinator
+// recently.
+func (d *Discovery) CoordinatorAlive() bool {
+	return d.Answered > 0 && float64(d.HeardCoordinator) >= minHeardFraction*float64(d.Answered)
 }
 
-// countAnswer counts an answer.
-func (f *Discovery) countAnswer(a probeResult, lately time.Duration) {
-	if !a.fromSidecar || a.rank < 0 {
+// countAnswer adds a probe's result to the counts.
+func (d *Discovery) countAnswer(result probeResult, recent time.Duration) {
+	if !result.fromSidecar || result.rank < 0 {
 		return
 	}
-	f.Answered++
-	if a.coordinatorKnown && a.coordinatorAge < lately {
-		f.HeardCoordinator++
+	d.Answered++
+	if result.coordinatorKnown && result.coordinatorAge < recent {
+		d.HeardCoordinator++
 	}
 }
 
-// probeResult is what was learned of a place.
+// probeResult is the result of probing one endpoint.
 type probeResult struct {
 	rank graniteknot.Rank
-	// fromSidecar tells that it was the fromSidecar that answered; coordinatorKnown that it has heard
-	// of a coordinatorKnown, age ago.
+	// fromSidecar reports that the sidecar answered. If it knows a coordinator, it last
+	// heard from it coordinatorAge ago.
 	fromSidecar, coordinatorKnown bool
 	coordinatorAge                time.Duration
 }
 
-// rankUnanswered and rankOtherGroup stand for the rank of a place that did not answer, or
-// that is no rank of the group.
+// Placeholders for the rank of an endpoint that did not answer, or that is not in the
+// group.
 const (
 	rankUnanswered graniteknot.Rank = -1
 	rankOtherGroup graniteknot.Rank = -2
 )
 
-// probe finds out which rank of the group is at a place.
-func probe(ctx context.Context, name held.GroupName, doer wire.Ranks, direct held.Rank) probeResult {
-	short, cancel := context.WithTimeout(ctx, sidecarProbeTimeout)
+// probe returns which rank of the group is at an endpoint.
+func probe(ctx context.Context, name held.GroupName, client wire.Ranks, direct held.Rank) probeResult {
+	sidecarCtx, cancel := context.WithTimeout(ctx, sidecarProbeTimeout)
 	defer cancel()
-	reply, err := doer.Look(short, &wire.LookRequest{})
+	reply, err := client.Look(sidecarCtx, &wire.LookRequest{})
 	if err == nil {
 		return probeResult{
 			rank: rankIfInGroup(name, held.GroupName(reply.GetGroup()), graniteknot.Rank(reply.GetRank())), fromSidecar: true,
 			coordinatorKnown: reply.GetKeeper() != 0, coordinatorAge: time.Duration(reply.GetKeeperAgeMs()) * time.Millisecond,
 		}
 	}
-	long, stop := context.WithTimeout(ctx, rankProbeTimeout)
-	defer stop()
-	report, err := direct.Report(long)
+	rankCtx, cancelDirect := context.WithTimeout(ctx, rankProbeTimeout)
+	defer cancelDirect()
+	report, err := direct.Report(rankCtx)
 	if err != nil {
 		return probeResult{rank: rankUnanswered}
 	}
 	return probeResult{rank: rankIfInGroup(name, report.Group, report.Rank)}
 }
 
-// rankIfInGroup returns a rank if its group is the one that is looked for.
+// rankIfInGroup returns the rank if it belongs to the group called name.
 func rankIfInGroup(name, group held.GroupName, r graniteknot.Rank) graniteknot.Rank {
 	if group != name {
 		return rankOtherGroup
--- a/internal/core/ranks/doc.go
+++ b/internal/core/ranks/doc.go
@@ -1,6 +1,9 @@
-// Package ranks keeps the expert map of a lock-step group whose ranks obey
-// orders: each sidecar runs a Doer before its own rank, and one of them a Keeper,
-// which reads all ranks through the Doers, plans, and switches. How a switch goes
-// is decided by package expertmap/held, which map is worth it by package planner,
-// and how a rank is spoken to by a Rank.
+// Package ranks maintains the expert map of a lock-step rank group: which rank holds which
+// experts. Each sidecar runs an Executor, which reads its own rank and gives it orders. One
+// sidecar also runs a Coordinator, which reads all ranks through the executors, plans a
+// better map and switches the group to it. On the wire and in logs the coordinator is
+// called the keeper, and its fencing token the fence.
+//
+// Package expertmap/held holds the switching protocol, package planner chooses the maps,
+// and held.Rank is the connection to a rank.
 package ranks
--- a/internal/core/ranks/executor.go
+++ b/internal/core/ranks/executor.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	// orderTimeout bounds an order to the own rank, with all its tries.
+	// orderTimeout bounds an order to the local rank, including retries.
 	orderTimeout = 450 * time.Millisecond
-	// attemptTimeout bounds one try. The rank is on the same box and answers within a
-	// few milliseconds, or not at all; then the same order is given again, which
-	// changes nothing if the first was taken.
+	// attemptTimeout bounds one attempt. The rank is on the same box and answers within a
+	// few milliseconds or not at all. Orders are idempotent, so an unanswered one is sent
+	// again.
 	attemptTimeout = 45 * time.Millisecond
 )
 
-// Executor reads its rank and gives it orders for the keeper. Set the exported
+// Executor reads its local rank and gives it the coordinator's orders. Set the exported
 // fields. It implements wire.Ranks.
 type Executor struct {
 	Rank held.Rank
-	// Clock is what the silence of keepers is decided by.
+	// Clock measures how long ago a coordinator was heard.
 	Clock graniteknot.AgeClock
-	// Target is the rank's address, for keepers that have to go around a
-	// sidecar.
+	// Target is the rank's address, for coordinators that have to bypass the sidecar.
 	Target graniteknot.Address
 	Log    *eventlog.Log
 	Meter  *meter.Meter
-	// PeerClient reaches the sidecar at an address; nil for over HTTP.
+	// PeerClient returns a client for the sidecar at an address; nil selects datagrams with
+	// HTTP as a fallback.
 	PeerClient func(graniteknot.Address) wire.Ranks
-	// Datagrams reaches other sidecars by datagrams; nil for over HTTP only.
+	// Datagrams sends calls to other sidecars in datagrams; nil selects HTTP only.
 	Datagrams DatagramClient
 
 	httpPeers    httpPeers
@@ -44,91 +44,93 @@
 	countHistory countHistory
 
 	mu sync.Mutex
-	// fence is the highest that was heard, heard when.
+	// fence is the highest fencing token received, last seen at fenceHeardAt.
 	fence        graniteknot.Position
 	fenceHeardAt time.Time
-	// coordinator is the own rank of the last coordinator that told it; none before.
+	// coordinator is the rank on the last known coordinator's box, if coordinatorKnown.
 	coordinator      graniteknot.Rank
 	coordinatorKnown bool
-	// forecast is the newest that a keeper told, heard at foretold.
+	// forecast is the newest one received from a coordinator, at forecastAt.
 	forecast   Forecast
 	forecastAt time.Time
 }
 
-// CoordinatorRank returns the own rank of the last keeper; false when it is unknown.
-func (d *Executor) CoordinatorRank() (graniteknot.Rank, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.coordinator, d.coordinatorKnown
+// CoordinatorRank returns the rank on the last known coordinator's box; false when there is
+// none.
+func (e *Executor) CoordinatorRank() (graniteknot.Rank, bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.coordinator, e.coordinatorKnown
 }
 
-// Forecast returns the newest forecast of a keeper, and when it came.
-func (d *Executor) Forecast() (Forecast, time.Time) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.forecast, d.forecastAt
+// Forecast returns the newest forecast from a coordinator and when it was received.
+func (e *Executor) Forecast() (Forecast, time.Time) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.forecast, e.forecastAt
 }
 
-// recordCoordinator keeps the own rank of a keeper, and what it foretells.
-func (d *Executor) recordCoordinator(r graniteknot.Rank, f Forecast) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.coordinator, d.coordinatorKnown = r, true
-	if f.Sequence > d.forecast.Sequence {
-		d.forecast, d.forecastAt = f, d.Clock.Now()
+// recordCoordinator stores a coordinator's rank, and its forecast if it is newer.
+func (e *Executor) recordCoordinator(r graniteknot.Rank, f Forecast) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.coordinator, e.coordinatorKnown = r, true
+	if f.Sequence > e.forecast.Sequence {
+		e.forecast, e.forecastAt = f, e.Clock.Now()
 	}
 }
 
-// Fence returns the highest fence heard, and when.
-func (d *Executor) Fence() (graniteknot.Position, time.Time) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.fence, d.fenceHeardAt
+// Fence returns the highest fencing token received and when it was last seen.
+func (e *Executor) Fence() (graniteknot.Position, time.Time) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.fence, e.fenceHeardAt
 }
 
-// admitFence takes a keeper's fence, or returns the higher one that is known.
-func (d *Executor) admitFence(fence graniteknot.Position) (higher graniteknot.Position) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if fence < d.fence {
-		return d.fence
+// admitFence accepts a coordinator's fencing token and returns 0, or returns the known one
+// if that is higher.
+func (e *Executor) admitFence(fence graniteknot.Position) (higher graniteknot.Position) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if fence < e.fence {
+		return e.fence
 	}
-	if fence > d.fence {
-		d.Log.Info("keeper", slog.Int64("fence", int64(fence)), slog.Int64("former", int64(d.fence)))
+	if fence > e.fence {
+		e.Log.Info("keeper", slog.Int64("fence", int64(fence)), slog.Int64("former", int64(e.fence)))
 	}
-	d.fence, d.fenceHeardAt = fence, d.Clock.Now()
+	e.fence, e.fenceHeardAt = fence, e.Clock.Now()
 	return 0
 }
 
 // Look implements wire.Ranks.
-func (d *Executor) Look(ctx context.Context, r *wire.LookRequest) (*wire.LookReply, error) {
+func (e *Executor) Look(ctx context.Context, r *wire.LookRequest) (*wire.LookReply, error) {
 	if r.GetFence() != 0 {
-		if higher := d.admitFence(graniteknot.Position(r.GetFence())); higher != 0 {
+		if higher := e.admitFence(graniteknot.Position(r.GetFence())); higher != 0 {
 			return &wire.LookReply{Fenced: int64(higher)}, nil
 		}
 		if own := r.GetOwnRank(); own > 0 {
-			d.recordCoordinator(graniteknot.Rank(own-1), Forecast{Skew: float64(r.GetSkew()), Loading: r.GetLoading(), Sequence: r.GetForecast()})
+			e.recordCoordinator(graniteknot.Rank(own-1), Forecast{Skew: float64(r.GetSkew()), Loading: r.GetLoading(), Sequence: r.GetForecast()})
 		}
 	}
-	report, err := d.Rank.Report(ctx)
+	report, err := e.Rank.Report(ctx)
 	if err != nil {
 		return nil, err
 	}
-	fence, heard := d.Fence()
+	fence, heardAt := e.Fence()
 	reply := &wire.LookReply{
-		Group: string(report.Group), Rank: int32(report.Rank), Size: int32(report.Size), Target: string(d.Target),
+		Group: string(report.Group), Rank: int32(report.Rank), Size: int32(report.Size), Target: string(e.Target),
 		State: stateToWire(report.State, report.Running+report.Waiting > 0), Pace: report.Pace,
 	}
 	if r.GetFence() == 0 && fence != 0 {
-		reply.Keeper, reply.KeeperAgeMs = int64(fence), d.Clock.Since(heard).Milliseconds()
+		reply.Keeper, reply.KeeperAgeMs = int64(fence), e.Clock.Since(heardAt).Milliseconds()
 	}
 	if r.GetCounts() {
-		if reply.Counts, err = d.Rank.Counts(ctx); err != nil {
+		if reply.Counts, err = e.Rank.Counts(ctx); err != nil {
 			return nil, err
 		}
 	}
 	if r.GetLists() {
-		lists, err := d.Rank.Lists(ctx)
+		lists, err := e.Rank.Lists(ctx)
 		if err != nil {
 			return nil, err
 		}
@@ -138,30 +140,30 @@
 }
 
 // Give implements wire.Ranks.
-func (d *Executor) Give(ctx context.Context, r *wire.GiveRequest) (*wire.GiveReply, error) {
-	if higher := d.admitFence(graniteknot.Position(r.GetFence())); higher != 0 {
+func (e *Executor) Give(ctx context.Context, r *wire.GiveRequest) (*wire.GiveReply, error) {
+	if higher := e.admitFence(graniteknot.Position(r.GetFence())); higher != 0 {
 		return &wire.GiveReply{Result: int32(held.ResultFenced), Fenced: int64(higher)}, nil
 	}
 	c := commandFromWire(r)
 	if c.Kind == held.KindPrepare {
 		if c.Placement == nil {
-			base, ok := d.placementFromMoves(c.Epoch, r)
+			placement, ok := e.placementFromMoves(c.Epoch, r)
 			if !ok {
 				return &wire.GiveReply{UnknownBase: true}, nil
 			}
-			c.Placement = base
+			c.Placement = placement
 		}
-		d.recentMaps.add(c.Epoch, c.Version, c.Placement)
+		e.recentMaps.add(c.Epoch, c.Version, c.Placement)
 	}
-	result := d.execute(ctx, c)
+	result := e.execute(ctx, c)
 	return &wire.GiveReply{Result: int32(result)}, nil
 }
 
-// placementFromMoves returns the map that a request tells by how it differs from another one;
-// false when that one is unknown. The map that groups open with is known by its shape.
-func (d *Executor) placementFromMoves(e held.Epoch, r *wire.GiveRequest) (*planner.Placement, bool) {
+// placementFromMoves builds the map that a request describes by moves from a base map;
+// false when the base is unknown. Base 0 is the initial map, which follows from the shape.
+func (e *Executor) placementFromMoves(epoch held.Epoch, r *wire.GiveRequest) (*planner.Placement, bool) {
 	if r.GetBase() != 0 {
-		return d.recentMaps.withMoves(e, held.Version(r.GetBase()), r.GetMoves())
+		return e.recentMaps.withMoves(epoch, held.Version(r.GetBase()), r.GetMoves())
 	}
 	s := planner.Shape{Layers: int(r.GetSets()), Experts: int(r.GetExperts()), Ranks: int(r.GetRanks()), Slots: int(r.GetPlaces())}
 	if !validShape(s) {
@@ -170,10 +172,10 @@
 	return applyMoves(planner.NewDealt(s), r.GetMoves())
 }
 
-// maxSlots bounds the places of a map that is told by its shape.
+// maxSlots bounds the slots of a map that a request describes by its shape.
 const maxSlots = 1 << 20
 
-// validShape tells whether a map may have a shape: every expert has a place.
+// validShape reports whether a shape is within bounds and has a slot for every expert.
 func validShape(s planner.Shape) bool {
 	if s.Layers <= 0 || s.Experts <= 0 || s.Ranks <= 0 || s.Slots <= 0 {
 		return false
@@ -184,34 +186,34 @@
 	return s.Experts <= s.Ranks*s.Slots
 }
 
-func (d *Executor) execute(ctx context.Context, c *held.Command) held.Result {
+func (e *Executor) execute(ctx context.Context, c *held.Command) held.Result {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	began := time.Now()
-	result, tries, err := d.executeWithRetry(ctx, c)
-	d.Meter.Count("graniteknot_orders_total",
+	result, attempts, err := e.executeWithRetry(ctx, c)
+	e.Meter.Count("graniteknot_orders_total",
 		meter.Label{Name: "order", Value: c.Kind.String()}, meter.Label{Name: "result", Value: result.String()})
-	d.Meter.Observe("graniteknot_order_seconds", time.Since(began), meter.Label{Name: "order", Value: c.Kind.String()})
+	e.Meter.Observe("graniteknot_order_seconds", time.Since(began), meter.Label{Name: "order", Value: c.Kind.String()})
 	fields := []slog.Attr{
 		slog.String("order", c.Kind.String()), slog.Int64("map", int64(c.Version)), slog.Uint64("step", uint64(c.Step)),
 		slog.Int64("epoch", int64(c.Epoch)), slog.Int64("fence", int64(c.Fence)), slog.String("result", result.String()),
-		slog.Int("tries", tries), eventlog.Milliseconds("took", time.Since(began)),
+		slog.Int("tries", attempts), eventlog.Milliseconds("took", time.Since(began)),
 	}
 	if err != nil {
-		d.Log.Warn("order", append(fields, slog.String("error", err.Error()))...)
+		e.Log.Warn("order", append(fields, slog.String("error", err.Error()))...)
 		return result
 	}
-	d.Log.Info("order", fields...)
+	e.Log.Info("order", fields...)
 	return result
 }
 
-// executeWithRetry gives an order until it is answered or the time is over.
-func (d *Executor) executeWithRetry(ctx context.Context, c *held.Command) (result held.Result, tries int, err error) {
+// executeWithRetry repeats an order until it is answered or ctx ends.
+func (e *Executor) executeWithRetry(ctx context.Context, c *held.Command) (result held.Result, attempts int, err error) {
 	for {
-		tries++
-		result, err = orderOnce(ctx, d.Rank, c, attemptTimeout)
+		attempts++
+		result, err = orderOnce(ctx, e.Rank, c, attemptTimeout)
 		if result != held.ResultLost || ctx.Err() != nil {
-			return result, tries, err
+			return result, attempts, err
 		}
 	}
 }
--- a/internal/core/ranks/look_merger.go
+++ b/internal/core/ranks/look_merger.go
@@ -8,31 +8,31 @@
 	"graniteknot.org/go/internal/wire"
 )
 
-// lookMerger collects what was seen of ranks, once for all that show the same. The zero
-// value is empty.
+// lookMerger collects look replies and merges identical ones, so that a state shared by
+// many ranks is sent once. The zero value is ready to use.
 type lookMerger struct {
 	mu     sync.Mutex
 	merged []*wire.LookAlike
 }
 
-// add takes in what was seen at some places. What tells ranks apart and the keeper
-// knows is left out.
-func (a *lookMerger) add(look *wire.LookReply, places ...int32) {
+// add records the reply of the ranks at the given positions in the request. It clears the
+// fields that differ between ranks, which the coordinator knows already.
+func (m *lookMerger) add(look *wire.LookReply, positions ...int32) {
 	look.Rank, look.Group, look.Target = 0, "", ""
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for _, one := range a.merged {
-		if proto.Equal(one.GetLook(), look) {
-			one.Places = append(one.Places, places...)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, existing := range m.merged {
+		if proto.Equal(existing.GetLook(), look) {
+			existing.Places = append(existing.Places, positions...)
 			return
 		}
 	}
-	a.merged = append(a.merged, &wire.LookAlike{Look: look, Places: places})
+	m.merged = append(m.merged, &wire.LookAlike{Look: look, Places: positions})
 }
 
-// reply returns what was collected.
-func (a *lookMerger) reply() *wire.LookAllReply {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return &wire.LookAllReply{Alike: a.merged}
+// reply returns the merged replies.
+func (m *lookMerger) reply() *wire.LookAllReply {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return &wire.LookAllReply{Alike: m.merged}
 }
--- a/internal/core/ranks/recent_maps.go
+++ b/internal/core/ranks/recent_maps.go
@@ -8,12 +8,11 @@
 	"graniteknot.org/go/planner"
 )
 
-// maxRecentMaps is how many maps a sidecar remembers: the one in force, and those that
-// it was told to prepare since.
+// maxRecentMaps is how many maps a sidecar remembers: the one in force and those it
+// prepared since.
 const maxRecentMaps = 3
 
-// recentMaps remembers the recentMaps that a sidecar was told, so that the next one can be
-// told by how it differs.
+// recentMaps holds the last maps that a sidecar received, as bases for maps sent as moves.
 type recentMaps struct {
 	mu      sync.Mutex
 	entries []recentMap
@@ -25,7 +24,7 @@
 	placement *planner.Placement
 }
 
-// add remembers a map.
+// add stores a map.
 func (m *recentMaps) add(e held.Epoch, v held.Version, p *planner.Placement) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -35,57 +34,57 @@
 	}
 }
 
-// withMoves returns a remembered map with changes; false when it is unknown, or
-// the changes do not fit it.
+// withMoves returns a stored map with moves applied; false when it is unknown or the moves
+// don't fit it.
 func (m *recentMaps) withMoves(e held.Epoch, base held.Version, moves []int32) (*planner.Placement, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, k := range m.entries {
-		if k.epoch == e && k.version == base {
-			return applyMoves(k.placement, moves)
+	for _, known := range m.entries {
+		if known.epoch == e && known.version == base {
+			return applyMoves(known.placement, moves)
 		}
 	}
 	return nil, false
 }
 
-// intsPerMove is how many numbers tell one move: how many places are the same before
-// it, and the expert. Most of the first take a byte, the second one or two.
+// intsPerMove is the length of an encoded move: the number of unchanged slots before it,
+// and the new expert. Most skips encode in one byte, experts in one or two.
 const intsPerMove = 2
 
 func applyMoves(p *planner.Placement, moves []int32) (*planner.Placement, bool) {
 	next := p.Clone()
 	s := p.Shape
-	at := 0
+	slot := 0
 	for ; len(moves) >= intsPerMove; moves = moves[intsPerMove:] {
-		same, expert := int(moves[0]), int(moves[1])
-		if same < 0 || same >= s.Layers*s.Ranks*s.Slots-at || expert >= s.Experts {
+		unchanged, expert := int(moves[0]), int(moves[1])
+		if unchanged < 0 || unchanged >= s.Layers*s.Ranks*s.Slots-slot || expert >= s.Experts {
 			return nil, false
 		}
-		at += same
-		place := at / s.Slots
+		slot += unchanged
+		cell := slot / s.Slots
 		next.Apply(planner.Batch{Moves: []planner.Move{{
-			Layer: graniteknot.Layer(place / s.Ranks), To: graniteknot.Rank(place % s.Ranks), Slot: at % s.Slots, Expert: graniteknot.Expert(expert),
+			Layer: graniteknot.Layer(cell / s.Ranks), To: graniteknot.Rank(cell % s.Ranks), Slot: slot % s.Slots, Expert: graniteknot.Expert(expert),
 		}}})
-		at++
+		slot++
 	}
 	return next, true
 }
 
-// diffMoves tells how a map differs from another of the same shape.
+// diffMoves encodes the difference between two maps of the same shape.
 func diffMoves(from, to *planner.Placement) []int32 {
 	var out []int32
-	same := int32(0)
+	unchanged := int32(0)
 	s := to.Shape
 	for l := range s.Layers {
 		for r := range s.Ranks {
 			before := from.Rank(graniteknot.Layer(l), graniteknot.Rank(r))
 			for i, e := range to.Rank(graniteknot.Layer(l), graniteknot.Rank(r)) {
 				if before[i] == e {
-					same++
+					unchanged++
 					continue
 				}
-				out = append(out, same, int32(e))
-				same = 0
+				out = append(out, unchanged, int32(e))
+				unchanged = 0
 			}
 		}
 	}
--- a/internal/core/ranks/relay.go
+++ b/internal/core/ranks/relay.go
@@ -10,89 +10,88 @@
 )
 
 const (
-	// relayLookTimeout and relayGive bound the calls that a sidecar makes for a keeper.
-	// An order has all its tries in the time. relayStep is added where the sidecar
-	// that is called has to call others.
+	// relayLookTimeout and relayGiveTimeout bound the calls that a relay makes; the latter
+	// covers an order's retries. relayHopTimeout is added where the called sidecar relays
+	// to others in turn.
 	relayLookTimeout = 150 * time.Millisecond
 	relayGiveTimeout = orderTimeout + 50*time.Millisecond
 	relayHopTimeout  = 50 * time.Millisecond
 )
 
 // LookAll implements wire.Ranks.
-func (d *Executor) LookAll(ctx context.Context, r *wire.LookAllRequest) (*wire.LookAllReply, error) {
-	var all lookMerger
-	var asked group.Group
-	place := int32(1)
+func (e *Executor) LookAll(ctx context.Context, r *wire.LookAllRequest) (*wire.LookAllReply, error) {
+	var merger lookMerger
+	var calls group.Group
+	position := int32(1)
 	for _, branch := range splitBranches(r.GetSidecars()) {
-		first := place
-		place += int32(len(branch))
-		asked.Go(func(context.Context) { d.lookBranch(ctx, r.GetLook(), branch, first, &all) })
+		first := position
+		position += int32(len(branch))
+		calls.Go(func(context.Context) { e.lookBranch(ctx, r.GetLook(), branch, first, &merger) })
 	}
-	// What does not answer here is asked by the keeper itself.
-	if own, err := d.Look(ctx, r.GetLook()); err == nil {
-		all.add(own, 0)
+	// The coordinator calls ranks that don't answer here itself.
+	if own, err := e.Look(ctx, r.GetLook()); err == nil {
+		merger.add(own, 0)
 	}
-	asked.Wait()
-	return all.reply(), nil
+	calls.Wait()
+	return merger.reply(), nil
 }
 
-// lookBranch looks at the ranks of a branch, which are at the places from the first
-// on.
-func (d *Executor) lookBranch(ctx context.Context, look *wire.LookRequest, branch []string, first int32, all *lookMerger) {
-	peer := d.peerClient(branch[0])
+// lookBranch reads the ranks of a branch, whose positions in the request begin at first.
+func (e *Executor) lookBranch(ctx context.Context, look *wire.LookRequest, branch []string, first int32, merger *lookMerger) {
+	peer := e.peerClient(branch[0])
 	if len(branch) == 1 {
-		short, cancel := context.WithTimeout(ctx, relayLookTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, relayLookTimeout)
 		defer cancel()
-		if reply, err := peer.Look(short, look); err == nil {
-			all.add(reply, first)
+		if reply, err := peer.Look(callCtx, look); err == nil {
+			merger.add(reply, first)
 		}
 		return
 	}
-	long, cancel := context.WithTimeout(ctx, relayLookTimeout+relayHopTimeout)
+	relayCtx, cancel := context.WithTimeout(ctx, relayLookTimeout+relayHopTimeout)
 	defer cancel()
-	reply, err := peer.LookAll(long, &wire.LookAllRequest{Look: look, Sidecars: branch[1:]})
+	reply, err := peer.LookAll(relayCtx, &wire.LookAllRequest{Look: look, Sidecars: branch[1:]})
 	if err != nil {
 		return
 	}
-	for _, one := range reply.GetAlike() {
-		places := make([]int32, len(one.GetPlaces()))
-		for i, p := range one.GetPlaces() {
-			places[i] = first + p
+	for _, merged := range reply.GetAlike() {
+		positions := make([]int32, len(merged.GetPlaces()))
+		for i, position := range merged.GetPlaces() {
+			positions[i] = first + position
 		}
-		all.add(one.GetLook(), places...)
+		merger.add(merged.GetLook(), positions...)
 	}
 }
 
 // GiveAll implements wire.Ranks.
-func (d *Executor) GiveAll(ctx context.Context, r *wire.GiveAllRequest) (*wire.GiveAllReply, error) {
+func (e *Executor) GiveAll(ctx context.Context, r *wire.GiveAllRequest) (*wire.GiveAllReply, error) {
 	out := &wire.GiveAllReply{Replies: make([]*wire.GiveReply, len(r.GetSidecars())+1)}
-	var asked group.Group
-	place := 1
+	var calls group.Group
+	position := 1
 	for _, branch := range splitBranches(r.GetSidecars()) {
-		replies := out.Replies[place : place+len(branch)]
-		place += len(branch)
-		asked.Go(func(context.Context) { d.giveBranch(ctx, r.GetGive(), branch, replies) })
+		replies := out.Replies[position : position+len(branch)]
+		position += len(branch)
+		calls.Go(func(context.Context) { e.giveBranch(ctx, r.GetGive(), branch, replies) })
 	}
-	out.Replies[0] = replyOrLost(d.Give(ctx, r.GetGive()))
-	asked.Wait()
+	out.Replies[0] = replyOrLost(e.Give(ctx, r.GetGive()))
+	calls.Wait()
 	return out, nil
 }
 
-// giveBranch gives an order to the ranks of a branch.
-func (d *Executor) giveBranch(ctx context.Context, give *wire.GiveRequest, branch []string, replies []*wire.GiveReply) {
+// giveBranch sends an order to the ranks of a branch.
+func (e *Executor) giveBranch(ctx context.Context, give *wire.GiveRequest, branch []string, replies []*wire.GiveReply) {
 	for i := range replies {
 		replies[i] = lostReply()
 	}
-	peer := d.peerClient(branch[0])
+	peer := e.peerClient(branch[0])
 	if len(branch) == 1 {
-		short, cancel := context.WithTimeout(ctx, relayGiveTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, relayGiveTimeout)
 		defer cancel()
-		replies[0] = replyOrLost(peer.Give(short, give))
+		replies[0] = replyOrLost(peer.Give(callCtx, give))
 		return
 	}
-	long, cancel := context.WithTimeout(ctx, relayGiveTimeout+relayHopTimeout)
+	relayCtx, cancel := context.WithTimeout(ctx, relayGiveTimeout+relayHopTimeout)
 	defer cancel()
-	reply, err := peer.GiveAll(long, &wire.GiveAllRequest{Give: give, Sidecars: branch[1:]})
+	reply, err := peer.GiveAll(relayCtx, &wire.GiveAllRequest{Give: give, Sidecars: branch[1:]})
 	if err == nil && len(reply.GetReplies()) == len(replies) {
 		copy(replies, reply.GetReplies())
 	}
