--- a/internal/core/ranks/coordinator.go
+++ b/internal/core/ranks/coordinator.go
@@ -16,281 +16,281 @@
 )
 
 const (
-	// minLead and mostLead bound how many passes ahead a step is held. All arms
-	// are to be seen before it begins, so that the group does not stand.
+	// minLead and maxLead bound how many passes ahead a step is held. All ranks must be
+	// known to be armed before that step, or the group stalls.
 	minLead = 2
 	maxLead = 16
 	// fastInterval is the time between rounds while a step is held.
 	fastInterval = 5 * time.Millisecond
-	// slowInterval is the time between rounds while ranks load a map, or have yet
-	// to reach an armed step.
+	// slowInterval is the time between rounds while ranks load a map or have yet to reach
+	// an armed step.
 	slowInterval = 40 * time.Millisecond
-	// incompleteInterval is the time between rounds of a group that is not whole.
+	// incompleteInterval is the time between rounds of a group with missing ranks.
 	incompleteInterval = 250 * time.Millisecond
-	// planInterval is the time between two looks of an idle group, each of which
-	// reads the counts and plans.
+	// planInterval is the time between rounds of an idle group, each of which reads the
+	// counts and plans.
 	planInterval = 60 * time.Millisecond
-	// countInterval is the least time between two readings of the counts. After a
-	// change of what is chosen they are read again after changedRound, which is
-	// about a pass: the plan then holds nothing of before.
+	// countInterval is the minimum time between two reads of the counts. After a suspected
+	// load shift they are read again after shiftInterval, about one pass, so that the plan
+	// uses only counts from after the shift.
 	countInterval = 60 * time.Millisecond
 	shiftInterval = 40 * time.Millisecond
-	// windowLength is how far a plan looks back while nothing changes, rollingLength
-	// where changes are not looked for.
+	// windowLength is the length of the count window while the load is stable,
+	// rollingLength where load shifts are not detected.
 	windowLength  = 1500 * time.Millisecond
 	rollingLength = 200 * time.Millisecond
-	// slowExpertLoad is how long one expert takes to load at least for a plan to wait
-	// for counts that hold nothing of before a change: about twice that wait. Where
-	// loading is faster, a map for a mixture is soon followed by another.
-	// Where a keeper reaches its ranks over three steps, a switch takes half a second,
-	// which is five intervals: then plans wait however fast experts load.
+	// slowExpertLoad is the expert load time from which plans wait for counts that come
+	// entirely from after a load shift; it is about twice that wait. Where loading is
+	// faster, a map planned from mixed counts is soon replaced. Groups with three relay
+	// hops wait however fast experts load: a switch there takes half a second, which is
+	// five count intervals.
 	slowExpertLoad = 150 * time.Millisecond
-	// switchLoadTime is how long a rank may load for one switch, if that is enough for
-	// one expert. Loading takes most of a switch, and interests move on meanwhile.
+	// switchLoadTime is how long a rank may load for one switch, if that is enough for one
+	// expert. Loading takes most of a switch, and the load shifts meanwhile.
 	switchLoadTime = 100 * time.Millisecond
-	// maxSwitchLoadTime bounds that time where passes are long. Interests move on
-	// meanwhile, but a rank that is many times slower than the others has to be
-	// emptied in few switches.
+	// maxSwitchLoadTime bounds that time where passes are long. The load shifts meanwhile,
+	// but a rank many times slower than the others has to be emptied in few switches.
 	maxSwitchLoadTime = 400 * time.Millisecond
-	// perCallPause is added to each pause for each call of a look: what it takes of
-	// the keeper's processor and link.
+	// perCallPause is the processor and link time that one look call costs the coordinator;
+	// it is added to the interval for each call.
 	perCallPause = 600 * time.Microsecond
-	// replyWait is how long a round waits for the ranks' answers; what comes
-	// later serves the next round.
+	// replyWait is how long a round waits for answers. Later ones are used in the next
+	// round.
 	replyWait = 40 * time.Millisecond
-	// maxLookAge is how old a look at a rank may be to decide on. Old looks are
-	// harmless, since what they show only changes by this keeper's orders, but
-	// nothing new is begun on them.
+	// maxLookAge is the maximum age of a rank's snapshot to decide on. Older ones are
+	// harmless, because only this coordinator's orders change that state, but nothing new
+	// is started on them.
 	maxLookAge = 2 * time.Second
-	// prepareRetryDelay is when a map is offered again to a rank that does not show
-	// it, beside the time that loading takes.
+	// prepareRetryDelay is how long after the expected load time a prepare order is
+	// repeated to a rank that does not show the map.
 	prepareRetryDelay = time.Second
-	// mapsPerFence bounds the maps of one keeper; see version.
+	// mapsPerFence bounds the maps of one coordinator; see version.
 	mapsPerFence = 1 << 20
-	// roundBits hold the rounds of one keeper in the numbers of forecasts; these grow
-	// from keeper to keeper, as fences do.
+	// roundBits is the width of the round number in a forecast's sequence. The fencing
+	// token above it makes sequences grow from one coordinator to the next.
 	roundBits = 32
 )
 
-// Config are what a Keeper is made of.
+// Config configures a Coordinator.
 type Config struct {
-	// Clock is what the age of what is known of ranks is decided by.
+	// Clock measures the age of what is known about ranks.
 	Clock graniteknot.AgeClock
-	// Fence is higher than any former keeper's.
+	// Fence is the fencing token, higher than that of any former coordinator.
 	Fence graniteknot.Position
-	// OwnRank is the keeper's own rank, FormerRank that of the keeper before it; the same
-	// when there was none, or it is not known.
+	// OwnRank is the rank on the coordinator's box, FormerRank that on the previous
+	// coordinator's box; they are equal when there was none or it is unknown.
 	OwnRank, FormerRank graniteknot.Rank
-	// Engine has experts.
+	// Engine must have Experts set.
 	Engine *catalog.Engine
-	// MaxEventGap is the longest useful pause between events; 0 is unknown.
+	// MaxEventGap is the longest acceptable pause between stream events; 0 is unknown.
 	MaxEventGap time.Duration
-	// LinkRate is what the keeper's box can receive, in bytes a second; 0 is unknown.
+	// LinkRate is the receive rate of the coordinator's box in bytes a second; 0 is
+	// unknown.
 	LinkRate float64
-	// Planner has a threshold of its own or, if that is 0, gets one that follows
-	// how long passes take.
+	// Planner keeps its threshold if that is set; otherwise the threshold follows the pass
+	// duration.
 	Planner *planner.Planner
 	// Members are all ranks, in order.
 	Members []*Member
-	// OnForecast is given what is known of the length of passes, once a round; nil for
-	// nobody.
+	// OnForecast, if set, receives the forecast once a round.
 	OnForecast func(Forecast)
 	Log        *eventlog.Log
 	Meter      *meter.Meter
 }
 
-// Coordinator keeps one group's map while it holds the highest fence. It is used by
-// one goroutine. Make it with NewKeeper.
+// Coordinator maintains the map of one group while it has the highest fencing token. It
+// must be used by a single goroutine. Create it with NewCoordinator.
 type Coordinator struct {
 	Config
-	// placement is the map in force at mapping.
+	// placement is the map in force, mapping its version.
 	placement *planner.Placement
 	mapping   held.Version
 	epoch     held.Epoch
-	// pending is the map that is being switched to; nil for none.
+	// pending is the map being switched to; nil for none.
 	pending *planner.Placement
 	desired held.Wish
-	// sequence counts this keeper's maps.
+	// sequence counts the maps planned by this coordinator.
 	sequence held.Version
-	// preparedAt is when each rank was last told to prepare.
+	// preparedAt is when each rank was last sent a prepare order.
 	preparedAt []time.Time
 	window     countWindow
-	// subtrees are the ranks of a large group as they are reached; nil for a small one.
+	// subtrees are the relay subtrees of a large group; nil for a small one.
 	subtrees []*subtree
 	// aggregator reads the counts of a large group; nil for a small one.
 	aggregator *countAggregator
 	timing     switchTiming
-	// forecaster knows how long passes will take.
+	// forecaster estimates how long passes take.
 	forecaster forecaster
-	// paces is how many times slower than the fastest each rank is; nil when none
-	// is slow.
+	// paces is each rank's pass time relative to the fastest; nil when none is slow.
 	paces []float64
-	// thresholdFixed tells that the planner's threshold was set from outside.
+	// thresholdFixed reports that the caller set the planner's threshold.
 	thresholdFixed bool
-	// planOutdated tells that what is chosen has changed since the last plan.
+	// planOutdated reports that the load has shifted since the last plan.
 	planOutdated bool
-	// shifts is how often what is chosen had changed at the last look.
+	// shifts is the number of load shifts seen up to the last plan.
 	shifts int
-	// replacedPending tells that the map that is being prepared took another's place.
+	// replacedPending reports that the pending map replaced another one before that was in
+	// force.
 	replacedPending bool
-	// statesCurrent tells that all orders of the last round were answered, so that the next
-	// one need not look; given are these orders.
+	// statesCurrent reports that all of lastOrders were answered, so that the next round
+	// need not read the ranks.
 	statesCurrent bool
 	lastOrders    []held.Order
-	// countsReady tells that new counts have come.
+	// countsReady signals new counts from the aggregator.
 	countsReady chan struct{}
 	// rounds counts the rounds.
 	rounds uint64
-	// phase is the last decision's; since is when it began.
+	// phase is that of the last decision, entered at phaseSince.
 	phase      held.Phase
 	phaseSince time.Time
 	countedAt  time.Time
 }
 
-// NewCoordinator returns a keeper that does nothing until Run.
-func NewCoordinator(p Config) *Coordinator {
-	k := &Coordinator{
-		Config: p, thresholdFixed: p.Planner.Threshold != 0, preparedAt: make([]time.Time, len(p.Members)),
-		window: newCountWindow(p.Planner.Shape, expertLoadTime(p.Engine.Experts)), countsReady: make(chan struct{}, 1),
+// NewCoordinator returns a coordinator, which is started with Run.
+func NewCoordinator(config Config) *Coordinator {
+	c := &Coordinator{
+		Config: config, thresholdFixed: config.Planner.Threshold != 0, preparedAt: make([]time.Time, len(config.Members)),
+		window: newCountWindow(config.Planner.Shape, expertLoadTime(config.Engine.Experts)), countsReady: make(chan struct{}, 1),
 	}
-	for _, m := range p.Members {
-		m.clock = p.Clock
+	for _, m := range config.Members {
+		m.clock = config.Clock
 	}
-	k.subtrees = newSubtrees(p.Members, p.OwnRank)
-	s := p.Planner.Shape
-	if s.Ranks*s.Layers*s.Experts > maxDirectCounts {
-		k.aggregator = newCountAggregator(k.window, &k.Config, k.countsReady)
+	c.subtrees = newSubtrees(config.Members, config.OwnRank)
+	shape := config.Planner.Shape
+	if shape.Ranks*shape.Layers*shape.Experts > maxDirectCounts {
+		c.aggregator = newCountAggregator(c.window, &c.Config, c.countsReady)
 	}
-	return k
+	return c
 }
 
-// version returns the number of the next map. Since fences grow from keeper to
-// keeper, no two maps share a number.
-func (k *Coordinator) version() held.Version {
-	k.sequence++
-	return held.Version(k.Fence)*mapsPerFence + k.sequence
+// version returns the version of the next map. Fencing tokens grow from one coordinator to
+// the next, so no two maps share a version.
+func (c *Coordinator) version() held.Version {
+	c.sequence++
+	return held.Version(c.Fence)*mapsPerFence + c.sequence
 }
 
-// Run keeps the map until ctx is done or another keeper is heard of, whose fence
+// Run maintains the map until ctx is done or a rank reports a higher fencing token, which
 // it returns.
-func (k *Coordinator) Run(ctx context.Context) graniteknot.Position {
-	defer k.stop()
+func (c *Coordinator) Run(ctx context.Context) graniteknot.Position {
+	defer c.stop()
 	for ctx.Err() == nil {
-		pause, fenced := k.round(ctx)
-		if fenced != 0 {
-			return fenced
+		delay, higher := c.round(ctx)
+		if higher != 0 {
+			return higher
 		}
-		k.wait(ctx, pause)
+		c.wait(ctx, delay)
 	}
 	return 0
 }
 
-// wait waits for a time, or for new counts where the group has nothing to do.
-func (k *Coordinator) wait(ctx context.Context, d time.Duration) {
-	news := k.countsReady
-	if k.phase != held.PhaseIdle {
-		news = nil
+// wait sleeps for d, or until new counts arrive while no switch is in progress.
+func (c *Coordinator) wait(ctx context.Context, d time.Duration) {
+	countsReady := c.countsReady
+	if c.phase != held.PhaseIdle {
+		countsReady = nil
 	}
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-news:
+	case <-countsReady:
 	case <-ctx.Done():
 	}
 }
 
-// stop ends the calls that are under way.
-func (k *Coordinator) stop() {
-	for _, m := range k.Members {
+// stop cancels the calls in flight.
+func (c *Coordinator) stop() {
+	for _, m := range c.Members {
 		m.calls.Stop()
 	}
-	if k.aggregator != nil {
-		k.aggregator.calls.Stop()
+	if c.aggregator != nil {
+		c.aggregator.calls.Stop()
 	}
 }
 
-// round reads all ranks and gives the orders that follow. It returns when the
-// next round is due.
-func (k *Coordinator) round(ctx context.Context) (time.Duration, graniteknot.Position) {
-	now := k.Clock.Now()
-	count := k.aggregator == nil && now.Sub(k.countedAt) >= k.countPeriod() && k.roundInterval(k.phase) > fastInterval
-	if k.aggregator != nil && k.placement != nil && k.phase != held.PhaseClosed {
-		k.aggregator.keepReading(now, k.switching(now))
+// round reads all ranks and sends the resulting orders. It returns the delay until the next
+// round, or a higher fencing token reported by a rank.
+func (c *Coordinator) round(ctx context.Context) (time.Duration, graniteknot.Position) {
+	now := c.Clock.Now()
+	readCounts := c.aggregator == nil && now.Sub(c.countedAt) >= c.countPeriod() && c.roundInterval(c.phase) > fastInterval
+	if c.aggregator != nil && c.placement != nil && c.phase != held.PhaseClosed {
+		c.aggregator.keepReading(now, c.switching(now))
 	}
-	k.rounds++
-	if !k.statesCurrent {
-		k.lookAll(ctx, k.lookRequest(count), now)
+	c.rounds++
+	if !c.statesCurrent {
+		c.lookAll(ctx, c.lookRequest(readCounts), now)
 	}
-	k.statesCurrent = false
-	looks, whole := k.snapshots()
-	if fenced := k.otherFence(); fenced > k.Fence {
-		return 0, fenced
+	c.statesCurrent = false
+	snapshots, complete := c.snapshots()
+	if higher := c.otherFence(); higher > c.Fence {
+		return 0, higher
 	}
-	if !whole {
-		pause := k.roundWithoutFormer(ctx, now)
-		k.publishForecast()
-		return pause, 0
+	if !complete {
+		delay := c.roundWithoutFormer(ctx, now)
+		c.publishForecast()
+		return delay, 0
 	}
-	states := make([]held.State, len(looks))
-	for i := range looks {
-		states[i] = looks[i].state
+	states := make([]held.State, len(snapshots))
+	for i := range snapshots {
+		states[i] = snapshots[i].state
 	}
-	if orders := k.fenceOrders(states); len(orders) > 0 {
-		k.sendOrders(ctx, orders, now)
+	if orders := c.fenceOrders(states); len(orders) > 0 {
+		c.sendOrders(ctx, orders, now)
 		return fastInterval, 0
 	}
-	k.updatePaces(looks)
-	known := k.updatePlacement(looks, states)
-	if count {
-		k.addCounts(looks, now)
+	c.updatePaces(snapshots)
+	mapKnown := c.updatePlacement(snapshots, states)
+	if readCounts {
+		c.addCounts(snapshots, now)
 	}
-	if known {
-		k.plan()
+	if mapKnown {
+		c.plan()
 	}
-	k.timing.observe(states[0].Step, now)
-	k.desired.Own, k.desired.Home, k.desired.Lead = k.OwnRank, k.holder(), k.timing.lead()
-	d := held.Decide(states, k.desired)
-	k.desired.Freed = max(k.desired.Freed, d.Freed)
-	k.enterPhase(d.Phase)
-	k.publishForecast()
-	if k.statesCurrent = k.sendOrders(ctx, d.Orders, now) && k.armsNewly(&d); k.statesCurrent {
+	c.timing.observe(states[0].Step, now)
+	c.desired.Own, c.desired.Home, c.desired.Lead = c.OwnRank, c.holder(), c.timing.lead()
+	decision := held.Decide(states, c.desired)
+	c.desired.Freed = max(c.desired.Freed, decision.Freed)
+	c.enterPhase(decision.Phase)
+	c.publishForecast()
+	if c.statesCurrent = c.sendOrders(ctx, decision.Orders, now) && c.armsNewly(&decision); c.statesCurrent {
 		return 0, 0
 	}
-	return k.roundInterval(d.Phase), 0
+	return c.roundInterval(decision.Phase), 0
 }
 
-// armsNewly tells whether a decision armsNewly ranks that the one before did not. Their answers
-// are as good as looks, and while ranks are armed every look makes the step come nearer
-// at which the group stands.
-func (k *Coordinator) armsNewly(d *held.Decision) bool {
-	same := slices.Equal(d.Orders, k.lastOrders)
-	k.lastOrders = d.Orders
-	return d.Phase == held.PhaseArming && !same
+// armsNewly reports whether a decision has arm orders that differ from those of the
+// previous round. Their answers already give the ranks' state, and while ranks are armed a
+// further look would bring the step at which the group stalls closer.
+func (c *Coordinator) armsNewly(decision *held.Decision) bool {
+	same := slices.Equal(decision.Orders, c.lastOrders)
+	c.lastOrders = decision.Orders
+	return decision.Phase == held.PhaseArming && !same
 }
 
-// lookRequest is what ranks are asked and told in a round.
-func (k *Coordinator) lookRequest(counts bool) *wire.LookRequest {
-	f := k.currentForecast()
+// lookRequest returns the request that a round sends to all ranks. It also carries the
+// forecast.
+func (c *Coordinator) lookRequest(counts bool) *wire.LookRequest {
+	f := c.currentForecast()
 	return &wire.LookRequest{
-		Fence: int64(k.Fence), OwnRank: int32(k.OwnRank) + 1, Counts: counts, Lists: k.placement == nil,
+		Fence: int64(c.Fence), OwnRank: int32(c.OwnRank) + 1, Counts: counts, Lists: c.placement == nil,
 		Skew: float32(f.Skew), Loading: f.Loading, Forecast: f.Sequence,
 	}
 }
 
-// enterPhase notes a phase and logs it.
-func (k *Coordinator) enterPhase(p held.Phase) {
-	if p == k.phase {
+// enterPhase records a change of phase and logs it.
+func (c *Coordinator) enterPhase(p held.Phase) {
+	if p == c.phase {
 		return
 	}
-	now := k.Clock.Now()
-	k.timing.enterPhase(p, now)
-	if k.phaseSince.IsZero() {
-		k.phaseSince = now
+	now := c.Clock.Now()
+	c.timing.enterPhase(p, now)
+	if c.phaseSince.IsZero() {
+		c.phaseSince = now
 	}
-	k.Meter.Observe("graniteknot_map_phase_seconds", now.Sub(k.phaseSince), meter.Label{Name: "phase", Value: k.phase.String()})
-	k.Log.Info("switch", slog.String("phase", p.String()), slog.String("former", k.phase.String()),
-		slog.Int64("map", int64(k.desired.Version)), slog.Int64("in_force", int64(k.mapping)), slog.Int64("epoch", int64(k.epoch)),
-		slog.Int64("fence", int64(k.Fence)), eventlog.Milliseconds("former_took", now.Sub(k.phaseSince)))
-	k.phase, k.phaseSince = p, now
+	c.Meter.Observe("graniteknot_map_phase_seconds", now.Sub(c.phaseSince), meter.Label{Name: "phase", Value: c.phase.String()})
+	c.Log.Info("switch", slog.String("phase", p.String()), slog.String("former", c.phase.String()),
+		slog.Int64("map", int64(c.desired.Version)), slog.Int64("in_force", int64(c.mapping)), slog.Int64("epoch", int64(c.epoch)),
+		slog.Int64("fence", int64(c.Fence)), eventlog.Milliseconds("former_took", now.Sub(c.phaseSince)))
+	c.phase, c.phaseSince = p, now
 }
--- a/internal/core/ranks/count_aggregator.go
+++ b/internal/core/ranks/count_aggregator.go
@@ -15,79 +15,80 @@
 )
 
 const (
-	// sumInterval is the least time between two readings of a large group's sums.
-	// They are read again after changedRound where the last ones are suspect.
+	// sumInterval is the minimum time between two reads of a large group's sums. After a
+	// suspected load shift they are read again after shiftInterval.
 	sumInterval = 100 * time.Millisecond
-	// countsLinkFraction is the part of the keeper's link that sums may take on the mean of
-	// some readings; its own rank's reports, looks and maps need the rest. With all of
-	// it taken a keeper of 129 ranks fell silent for seconds.
+	// countsLinkFraction is the fraction of the coordinator's link that sums may use on
+	// average; its own rank's reports, looks and maps need the rest. With all of it used, a
+	// coordinator of 129 ranks was silent for seconds.
 	countsLinkFraction = 0.3
-	// minRankFraction is the part of the ranks that a sum has to be of to count.
+	// minRankFraction is the fraction of ranks that a sum has to cover to be used.
 	minRankFraction = 0.5
 )
 
-// countAggregator reads the counts of a large group in sums, beside the keeper's rounds. Each
-// reading asks how much counts have grown since the last one that came.
+// countAggregator reads the counts of a large group as sums, in parallel with the
+// coordinator's rounds. Each read requests the growth since the last one received.
 type countAggregator struct {
-	// clock is the keeper's.
+	// clock is the coordinator's.
 	clock    graniteknot.AgeClock
 	window   countWindow
 	subtrees [][]*Member
 	fence    graniteknot.Position
-	// countsReady is told of new counts.
+	// countsReady receives a signal for new counts.
 	countsReady chan<- struct{}
-	// linkRate is what the keeper's box can receive, in bytes a second; 0 is unknown.
+	// linkRate is the receive rate of the coordinator's box in bytes a second; 0 is
+	// unknown.
 	linkRate float64
 	calls    group.Group
 
 	mu sync.Mutex
-	// round numbers the readings; baseRound is the last that came, 0 for none.
+	// round numbers the reads; baseRound is the last one received, 0 for none.
 	round, baseRound uint64
-	// totals is what has been counted since the first reading.
+	// totals holds the counts since the first read.
 	totals []uint64
-	// wantedAt is when the keeper last asked for sums. busy tells that they are being
-	// read, again and again as long as they are wantedAt.
+	// wantedAt is when the coordinator last requested sums. running reports that they are
+	// being read, which repeats as long as they are requested.
 	wantedAt time.Time
 	running  bool
-	// paused keeps the links free for a switch.
+	// paused suspends reads to leave the links to a switch.
 	paused bool
 }
 
-// newCountAggregator returns a tally of the members' counts.
-func newCountAggregator(w countWindow, p *Config, news chan<- struct{}) *countAggregator {
-	t := &countAggregator{clock: p.Clock, window: w, fence: p.Fence, linkRate: p.LinkRate, subtrees: splitGroup(p.Members, p.OwnRank), countsReady: news}
-	if !allAddressed(p.Members) {
-		t.subtrees = nil
-		for _, m := range p.Members {
-			t.subtrees = append(t.subtrees, []*Member{m})
+// newCountAggregator returns an aggregator of the members' counts.
+func newCountAggregator(w countWindow, config *Config, countsReady chan<- struct{}) *countAggregator {
+	a := &countAggregator{clock: config.Clock, window: w, fence: config.Fence, linkRate: config.LinkRate, subtrees: splitGroup(config.Members, config.OwnRank), countsReady: countsReady}
+	if !allAddressed(config.Members) {
+		a.subtrees = nil
+		for _, m := range config.Members {
+			a.subtrees = append(a.subtrees, []*Member{m})
 		}
 	}
-	return t
+	return a
 }
 
-// wantedTimeout is for how long sums are read on that the keeper does not ask for: longer
-// than its rounds take.
+// wantedTimeout is how long reading goes on after the coordinator's last request; it is
+// longer than a round.
 const wantedTimeout = time.Second
 
-// pausePollInterval is how often it is looked whether links are free again.
+// pausePollInterval is how often a paused aggregator checks whether it may read again.
 const pausePollInterval = 10 * time.Millisecond
 
-// keepReading has the sums keepReading, again and again while this is called; but not while it is to
-// be quiet.
-func (t *countAggregator) keepReading(now time.Time, quiet bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.wantedAt, t.paused = now, quiet
-	if t.running {
+// keepReading requests that sums be read repeatedly, or suspends that while paused. It is
+// called every round.
+func (a *countAggregator) keepReading(now time.Time, paused bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.wantedAt, a.paused = now, paused
+	if a.running {
 		return
 	}
-	t.running = true
-	t.calls.Go(t.run)
+	a.running = true
+	a.calls.Go(a.run)
 }
 
-func (t *countAggregator) run(ctx context.Context) {
+func (a *countAggregator) run(ctx context.Context) {
 	for {
-		r, ok := t.nextRequest(t.clock.Now())
+		r, ok := a.nextRequest(a.clock.Now())
 		if !ok || ctx.Err() != nil {
 			return
 		}
@@ -95,129 +96,129 @@
 			delay.For(ctx, pausePollInterval)
 			continue
 		}
-		began := t.clock.Now()
-		pause := t.readSums(ctx, r, began)
-		delay.For(ctx, t.clock.Until(began.Add(pause)))
+		began := a.clock.Now()
+		interval := a.readSums(ctx, r, began)
+		delay.For(ctx, a.clock.Until(began.Add(interval)))
 	}
 }
 
-// nextRequest is that of the next reading, nil while it is to be quiet; false when none is
-// wanted.
-func (t *countAggregator) nextRequest(now time.Time) (*wire.SumRequest, bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.running = now.Sub(t.wantedAt) < wantedTimeout
-	if t.paused || !t.running {
-		return nil, t.running
+// nextRequest returns the request for the next read, nil while paused; false when sums are
+// no longer requested.
+func (a *countAggregator) nextRequest(now time.Time) (*wire.SumRequest, bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.running = now.Sub(a.wantedAt) < wantedTimeout
+	if a.paused || !a.running {
+		return nil, a.running
 	}
-	t.round++
-	return &wire.SumRequest{Fence: int64(t.fence), Round: t.round, Since: t.baseRound, WaitMs: int32(sumTimeout.Milliseconds())}, true
+	a.round++
+	return &wire.SumRequest{Fence: int64(a.fence), Round: a.round, Since: a.baseRound, WaitMs: int32(sumTimeout.Milliseconds())}, true
 }
 
-// readSums reads the sums of all parts. A part that does not answer is left out.
-// It returns when the next reading is due after the begin of this one.
-func (t *countAggregator) readSums(ctx context.Context, r *wire.SumRequest, began time.Time) time.Duration {
-	var all countSum
-	var asked group.Group
-	for _, part := range t.subtrees {
-		reached := responsive(part, began)
-		if len(reached) == 0 {
+// readSums reads the sums of all subtrees, without those that don't answer. It returns the
+// interval from its start to the next read.
+func (a *countAggregator) readSums(ctx context.Context, r *wire.SumRequest, began time.Time) time.Duration {
+	var sum countSum
+	var calls group.Group
+	for _, members := range a.subtrees {
+		responding := responsive(members, began)
+		if len(responding) == 0 {
 			continue
 		}
-		asked.Go(func(context.Context) {
-			short, cancel := context.WithTimeout(ctx, sumTimeout)
+		calls.Go(func(context.Context) {
+			callCtx, cancel := context.WithTimeout(ctx, sumTimeout)
 			defer cancel()
-			reply, err := reached[0].client.Sum(short, &wire.SumRequest{
-				Sidecars: relayedSidecars(reached), Fence: r.GetFence(), Round: r.GetRound(), Since: r.GetSince(), WaitMs: r.GetWaitMs(),
+			reply, err := responding[0].client.Sum(callCtx, &wire.SumRequest{
+				Sidecars: relayedSidecars(responding), Fence: r.GetFence(), Round: r.GetRound(), Since: r.GetSince(), WaitMs: r.GetWaitMs(),
 			})
 			if err == nil {
-				all.add(reply)
+				sum.add(reply)
 			}
 		})
 	}
-	asked.Wait()
-	return t.addSum(&all, r.GetRound(), began)
+	calls.Wait()
+	return a.addSum(&sum, r.GetRound(), began)
 }
 
-// addSum takes in the sum of a reading.
-func (t *countAggregator) addSum(sum *countSum, round uint64, began time.Time) time.Duration {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	enough := minRankFraction * float64(t.members())
+// addSum adds the sum of one read to the window and returns the interval to the next read.
+func (a *countAggregator) addSum(sum *countSum, round uint64, began time.Time) time.Duration {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	enough := minRankFraction * float64(a.members())
 	if float64(sum.sampled) < enough {
-		return t.interval(len(sum.counts))
+		return a.interval(len(sum.counts))
 	}
 	switch {
-	case t.baseRound == 0:
-		t.totals = make([]uint64, t.window.Shape.Layers*t.window.Shape.Experts)
-		t.window.add(began, [][]uint64{t.totals})
-	case float64(sum.ranks) >= enough && len(sum.counts) == len(t.totals):
-		t.addGrowth(sum.counts)
-		t.window.add(began, [][]uint64{t.totals})
+	case a.baseRound == 0:
+		a.totals = make([]uint64, a.window.Shape.Layers*a.window.Shape.Experts)
+		a.window.add(began, [][]uint64{a.totals})
+	case float64(sum.ranks) >= enough && len(sum.counts) == len(a.totals):
+		a.addGrowth(sum.counts)
+		a.window.add(began, [][]uint64{a.totals})
 	}
-	t.baseRound = round
+	a.baseRound = round
 	select {
-	case t.countsReady <- struct{}{}:
+	case a.countsReady <- struct{}{}:
 	default:
 	}
-	return t.interval(len(sum.counts))
+	return a.interval(len(sum.counts))
 }
 
-// addGrowth adds what has been counted since the last reading.
-func (t *countAggregator) addGrowth(counts []uint64) {
-	t.totals = slices.Clone(t.totals)
+// addGrowth adds the growth since the last read.
+func (a *countAggregator) addGrowth(counts []uint64) {
+	a.totals = slices.Clone(a.totals)
 	for i, n := range counts {
-		t.totals[i] += n
+		a.totals[i] += n
 	}
 }
 
-func (t *countAggregator) members() int {
+func (a *countAggregator) members() int {
 	n := 0
-	for _, part := range t.subtrees {
-		n += len(part)
+	for _, members := range a.subtrees {
+		n += len(members)
 	}
 	return n
 }
 
-// interval is the time from the begin of a reading to that of the next one, where each
-// part's sum is of so many counts of a byte.
-func (t *countAggregator) interval(size int) time.Duration {
+// interval returns the time from the start of one read to the next, where each subtree's
+// sum has the given size in bytes.
+func (a *countAggregator) interval(size int) time.Duration {
 	least := sumInterval
-	if t.window.suspect {
+	if a.window.suspect {
 		least = shiftInterval
 	}
-	if t.linkRate <= 0 {
+	if a.linkRate <= 0 {
 		return least
 	}
-	transfer := float64(len(t.subtrees)*size) / (countsLinkFraction * t.linkRate)
+	transfer := float64(len(a.subtrees)*size) / (countsLinkFraction * a.linkRate)
 	return max(least, time.Duration(transfer*float64(time.Second)))
 }
 
-// recentLoads returns the counts within the window, as window.recentLoads does.
-func (t *countAggregator) recentLoads() (planner.Loads, bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.window.loads()
+// loads returns the load of each expert within the window.
+func (a *countAggregator) loads() (planner.Loads, bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.window.loads()
 }
 
-// loadShift tells of the newest sums what Keeper.loadShift does of counts.
-func (t *countAggregator) loadShift() (suspect bool, changes int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.window.suspect, t.window.shifts
+// loadShift is Coordinator.loadShift for the newest sums.
+func (a *countAggregator) loadShift() (suspect bool, shifts int) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.window.suspect, a.window.shifts
 }
 
-// updateForecast has the newest sums taken in.
-func (t *countAggregator) updateForecast(f *forecaster, p *planner.Placement, paces []float64, mapping held.Version) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	f.observe(&t.window, p, paces, mapping)
+// updateForecast updates the forecaster with the newest sums.
+func (a *countAggregator) updateForecast(f *forecaster, p *planner.Placement, paces []float64, mapping held.Version) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	f.observe(&a.window, p, paces, mapping)
 }
 
-// reset drops what was read.
-func (t *countAggregator) reset() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.window.reset()
-	t.totals, t.baseRound = nil, 0
+// reset drops all counts.
+func (a *countAggregator) reset() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.window.reset()
+	a.totals, a.baseRound = nil, 0
 }
--- a/internal/core/ranks/count_history.go
+++ b/internal/core/ranks/count_history.go
@@ -8,13 +8,13 @@
 	"graniteknot.org/go/internal/wire"
 )
 
-// maxCountSamples is how many answers to a keeper's questions for counts a sidecar
-// remembers: the last one that the keeper got and those that it may have lost since.
+// maxCountSamples is how many samples a sidecar remembers: the last one the coordinator
+// received and those whose replies may have been lost since.
 const maxCountSamples = 4
 
-// countHistory remembers a rank's counts at a keeper's last questions, so that a sidecar
-// tells how much they have grown since one of them: most of these numbers take one
-// byte, and sums of fewer ranks remain comparable. The zero value is empty.
+// countHistory remembers a rank's counts at the coordinator's last reads, so that replies
+// hold the growth since an earlier read. Most increments fit in one byte, and sums that
+// lack ranks remain comparable. The zero value is ready to use.
 type countHistory struct {
 	mu      sync.Mutex
 	fence   graniteknot.Position
@@ -26,29 +26,29 @@
 	counts []uint64
 }
 
-// add remembers the counts at a question and returns how much they have grown since
-// an earlier one, if that is remembered.
-func (s *countHistory) add(fence graniteknot.Position, round, since uint64, counts []uint64) *wire.SumReply {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if fence != s.fence {
-		s.fence, s.samples = fence, nil
+// record stores the counts of a round and returns their growth since an earlier round, if
+// that is remembered.
+func (h *countHistory) record(fence graniteknot.Position, round, since uint64, counts []uint64) *wire.SumReply {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if fence != h.fence {
+		h.fence, h.samples = fence, nil
 	}
 	out := &wire.SumReply{Sampled: 1}
-	for _, old := range s.samples {
+	for _, old := range h.samples {
 		if old.round == since {
 			out.Counts, out.Ranks = countGrowth(old.counts, counts)
 		}
 	}
-	s.samples = append(s.samples, countSample{round, counts})
-	if len(s.samples) > maxCountSamples {
-		s.samples = s.samples[1:]
+	h.samples = append(h.samples, countSample{round, counts})
+	if len(h.samples) > maxCountSamples {
+		h.samples = h.samples[1:]
 	}
 	return out
 }
 
-// countGrowth returns how much counts have grown, of one rank; of none if they fell, as
-// when the rank has started anew.
+// countGrowth returns the increments and the number of ranks they are from: 0 if a count
+// fell, as after a restart of the rank.
 func countGrowth(from, to []uint64) ([]byte, int32) {
 	if len(from) != len(to) {
 		return nil, 0
--- a/internal/core/ranks/count_sum.go
+++ b/internal/core/ranks/count_sum.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// sumTimeout bounds a keeper's question for the sum of a part, and waitShare is the
-	// part of its own time that a sidecar gives those that it asks. On a narrow link the
-	// sums of some branches, a few KB each, take a while.
+	// sumTimeout bounds a coordinator's request for a subtree's sum, and childWaitFraction
+	// is the fraction of its own timeout that a relay allows the sidecars it calls. On a
+	// narrow link the sums of several branches, a few KB each, take a while.
 	sumTimeout        = 600 * time.Millisecond
 	childWaitFraction = 0.65
-	// maxDirectCounts is the most counts, of all ranks together, that a keeper reads
-	// itself; of more it reads sums. At three bytes a count this is some 30 KB,
-	// which a side box's link of 8 Mbit/s carries in 30 ms.
+	// maxDirectCounts is the number of counts, over all ranks, up to which a coordinator
+	// reads each rank's counts itself; above it, it reads sums. At three bytes a count this
+	// is some 30 KB, which a side box's link of 8 Mbit/s carries in 30 ms.
 	maxDirectCounts = 10_000
 )
 
-// httpPeers reaches other sidecars by their addresses.
+// httpPeers creates HTTP clients for other sidecars.
 type httpPeers struct {
 	mu   sync.Mutex
 	http *http.Client
 }
 
-// client returns the calls of a sidecar at an address.
+// client returns a client for the sidecar at an address.
 func (p *httpPeers) client(address string) wire.Ranks {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -40,49 +40,49 @@
 	return wire.NewRanksProtobufClient("http://"+address, p.http)
 }
 
-// peerClient returns the calls of another sidecar.
-func (d *Executor) peerClient(address string) wire.Ranks {
-	if d.PeerClient != nil {
-		return d.PeerClient(graniteknot.Address(address))
+// peerClient returns a client for another sidecar.
+func (e *Executor) peerClient(address string) wire.Ranks {
+	if e.PeerClient != nil {
+		return e.PeerClient(graniteknot.Address(address))
 	}
-	return overDatagrams(d.Datagrams, graniteknot.Address(address), d.httpPeers.client(address))
+	return overDatagrams(e.Datagrams, graniteknot.Address(address), e.httpPeers.client(address))
 }
 
-// Sum implements wire.Ranks. What does not come in time is left out: the sum is then
-// of fewer ranks, of which the keeper is told the number.
-func (d *Executor) Sum(ctx context.Context, r *wire.SumRequest) (*wire.SumReply, error) {
-	wait := time.Duration(float64(r.GetWaitMs())*childWaitFraction) * time.Millisecond
-	var all countSum
-	var asked group.Group
+// Sum implements wire.Ranks. Replies that are late are left out; the reply says how many
+// ranks it covers.
+func (e *Executor) Sum(ctx context.Context, r *wire.SumRequest) (*wire.SumReply, error) {
+	timeout := time.Duration(float64(r.GetWaitMs())*childWaitFraction) * time.Millisecond
+	var sum countSum
+	var calls group.Group
 	for _, branch := range splitBranches(r.GetSidecars()) {
-		asked.Go(func(context.Context) {
-			short, cancel := context.WithTimeout(ctx, wait)
+		calls.Go(func(context.Context) {
+			callCtx, cancel := context.WithTimeout(ctx, timeout)
 			defer cancel()
-			reply, err := d.peerClient(branch[0]).Sum(short, &wire.SumRequest{
-				Sidecars: branch[1:], Fence: r.GetFence(), Round: r.GetRound(), Since: r.GetSince(), WaitMs: int32(wait.Milliseconds()),
+			reply, err := e.peerClient(branch[0]).Sum(callCtx, &wire.SumRequest{
+				Sidecars: branch[1:], Fence: r.GetFence(), Round: r.GetRound(), Since: r.GetSince(), WaitMs: int32(timeout.Milliseconds()),
 			})
 			if err == nil {
-				all.add(reply)
+				sum.add(reply)
 			}
 		})
 	}
-	if own, err := d.Rank.Counts(ctx); err == nil {
-		all.add(d.countHistory.add(graniteknot.Position(r.GetFence()), r.GetRound(), r.GetSince(), own))
+	if own, err := e.Rank.Counts(ctx); err == nil {
+		sum.add(e.countHistory.record(graniteknot.Position(r.GetFence()), r.GetRound(), r.GetSince(), own))
 	}
-	asked.Wait()
-	return all.reply(), nil
+	calls.Wait()
+	return sum.reply(), nil
 }
 
-// countSum adds counts up. The zero value is empty.
+// countSum adds up counts. The zero value is ready to use.
 type countSum struct {
 	mu     sync.Mutex
 	counts []uint64
-	// ranks is how many ranks they are of, sampled how many sidecars remember the
-	// question.
+	// ranks is the number of ranks summed, sampled the number of sidecars that stored a
+	// sample of the round.
 	ranks, sampled int32
 }
 
-// add takes in a sum; one of another length than those before is left out.
+// add adds a reply; counts of a different length than before are ignored.
 func (s *countSum) add(r *wire.SumReply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/core/ranks/count_window.go
+++ b/internal/core/ranks/count_window.go
@@ -7,62 +7,61 @@
 )
 
 const (
-	// shiftRatio is by how many times more than usual an interval's counts have to
-	// differ from those before for requests to have turned to other experts: well over
-	// what chance makes, and under what a shift does.
+	// shiftRatio is the multiple of the baseline from which the distance between an
+	// interval's counts and the earlier ones counts as a load shift: well above random
+	// variation and below real shifts.
 	shiftRatio = 2.2
-	// maxFirstBaseline bounds what the first interval takes for usual.
+	// maxFirstBaseline bounds the baseline taken from the first interval.
 	maxFirstBaseline = 0.15
-	// baselineSmoothing is the weight of an interval in what is usual.
+	// baselineSmoothing is the weight of an interval in the baseline.
 	baselineSmoothing = 0.1
-	// minMeanChoices is how many times an interval has to choose each expert, at the
-	// mean, to tell anything.
+	// minMeanChoices is how often an interval has to choose each expert, on average, to be
+	// significant.
 	minMeanChoices = 5
 )
 
-// countWindow tells how often experts were chosen of late, from counts that only
-// grow. What requests are about stays the same for seconds and then changes at
-// once: as long as it stays, the longer the countWindow the less of it is chance, and
-// when it has changed, what was before misleads. So the countWindow grows up to Length
-// and begins anew with each change. Set Shape and Length.
+// countWindow computes the recent load of experts from cumulative counts. The topics of
+// requests stay the same for seconds and then change at once. While they are stable, a
+// longer window has less noise; after a shift, older counts mislead. The window therefore
+// grows up to Length and restarts at each shift. Set Shape and Length.
 type countWindow struct {
 	Shape planner.Shape
-	// Length is how far it looks back at most.
+	// Length is the maximum length of the window.
 	Length time.Duration
-	// Rolling windows do not look for changes: they are short, and what is planned
-	// for a mixture is soon planned again.
+	// Rolling disables the detection of shifts. Rolling windows are short, and a map
+	// planned from mixed counts is soon replaced.
 	Rolling bool
 
-	// samples holds the counts of all ranks, oldest first; the first is the last
-	// that is at least Length older than the newest.
+	// samples holds the counts of all ranks, oldest first. The first is the last one that
+	// is at least Length older than the newest.
 	samples []groupCounts
-	// baseline is by how much an interval differs from those before it when nothing
-	// has changed; 0 before the first.
+	// baseline is the usual distance between an interval's counts and the earlier ones
+	// while the load is stable; 0 before the first.
 	baseline float64
-	// suspect tells that the newest interval differs from those before it: by
-	// chance, or by a change, of which a part of it may still be from before.
+	// suspect reports that the newest interval differs from the earlier ones, either by
+	// chance or because a shift happened within it.
 	suspect bool
-	// shifted tells that the newest interval is the first after a change.
+	// shifted reports that the newest interval is the first after a shift.
 	shifted bool
 	// shifts counts the shifts.
 	shifts int
 }
 
-// newCountWindow returns the window for experts that take so long to load.
-func newCountWindow(s planner.Shape, load time.Duration) countWindow {
-	if load < slowExpertLoad && s.Ranks <= minSubtree*minSubtree {
+// newCountWindow returns the window for a group whose experts take the given time to load.
+func newCountWindow(s planner.Shape, loadTime time.Duration) countWindow {
+	if loadTime < slowExpertLoad && s.Ranks <= minSubtreeSize*minSubtreeSize {
 		return countWindow{Shape: s, Length: rollingLength, Rolling: true}
 	}
 	return countWindow{Shape: s, Length: windowLength}
 }
 
-// groupCounts is one look at the counts of all ranks.
+// groupCounts holds the counts of all ranks at one time.
 type groupCounts struct {
 	at     time.Time
 	counts [][]uint64
 }
 
-// add takes in the counts of all ranks.
+// add adds the counts of all ranks.
 func (w *countWindow) add(at time.Time, counts [][]uint64) {
 	w.samples = append(w.samples, groupCounts{at, counts})
 	if !w.Rolling {
@@ -73,10 +72,9 @@
 	}
 }
 
-// detectShift finds out whether what is chosen has changed. An interval that differs is
-// suspect; if the next one differs as well from what was before both, that one is the
-// first after a change. Else it was chance, as with the few requests of a short
-// interval.
+// detectShift detects whether the load has shifted. An interval that differs from the
+// earlier ones is suspect. If the next one differs from them too, it is the first after a
+// shift. Otherwise the difference was chance, as with few requests in a short interval.
 func (w *countWindow) detectShift() {
 	w.shifted = false
 	last := len(w.samples) - 1
@@ -88,12 +86,12 @@
 		w.suspect = false
 		return
 	}
-	now := w.loadsBetween(last-1, last)
-	if now.Total() < w.minChoices() {
+	newest := w.loadsBetween(last-1, last)
+	if newest.Total() < w.minChoices() {
 		return
 	}
-	by := now.Distance(w.loadsBetween(0, before))
-	differs := w.baseline > 0 && by > shiftRatio*w.baseline
+	distance := newest.Distance(w.loadsBetween(0, before))
+	differs := w.baseline > 0 && distance > shiftRatio*w.baseline
 	if w.suspect && differs {
 		w.shifted = true
 		w.shifts++
@@ -101,18 +99,18 @@
 	}
 	w.suspect = differs && !w.suspect
 	if w.baseline == 0 {
-		w.baseline = min(by, maxFirstBaseline)
+		w.baseline = min(distance, maxFirstBaseline)
 	}
-	// What differs much counts for a little more than usual: a shift is over with
-	// one or two intervals, while fewer requests differ more as long as they are few.
-	w.baseline += baselineSmoothing * (min(by, shiftRatio*w.baseline) - w.baseline)
+	// A large distance raises the baseline only a little: a shift is over after one or two
+	// intervals, while a low request rate keeps the distance higher for as long as it
+	// lasts.
+	w.baseline += baselineSmoothing * (min(distance, shiftRatio*w.baseline) - w.baseline)
 }
 
-// reset drops what was taken.
+// reset drops all counts.
 func (w *countWindow) reset() { w.samples, w.suspect, w.shifted = nil, false, false }
 
-// loads returns the counts within the window; false before there are two looks
-// of them.
+// loads returns the loads within the window; false with fewer than two samples.
 func (w *countWindow) loads() (planner.Loads, bool) {
 	if len(w.samples) < 2 {
 		return nil, false
@@ -120,8 +118,8 @@
 	return w.loadsBetween(0, len(w.samples)-1), true
 }
 
-// newestLoads returns the counts of the newestLoads interval and when they were taken; false
-// before there is one, or when it holds too few to tell anything.
+// newestLoads returns the loads of the newest interval and its end; false when there is
+// none or it has too few choices to be significant.
 func (w *countWindow) newestLoads() (planner.Loads, time.Time, bool) {
 	last := len(w.samples) - 1
 	if last < 1 {
@@ -131,12 +129,12 @@
 	return loads, w.samples[last].at, loads.Total() >= w.minChoices()
 }
 
-// minChoices is how many choices an interval has to hold to tell anything.
+// minChoices returns how many choices an interval needs to be significant.
 func (w *countWindow) minChoices() float64 {
 	return float64(minMeanChoices * w.Shape.Layers * w.Shape.Experts)
 }
 
-// loadsBetween returns the counts from one look to another.
+// loadsBetween returns the loads from one sample to another.
 func (w *countWindow) loadsBetween(from, to int) planner.Loads {
 	s := w.Shape
 	loads := planner.NewLoads(s)
@@ -147,7 +145,7 @@
 			continue
 		}
 		for i := range now {
-			// Counts fall when a rank has started anew.
+			// A count falls when its rank has restarted.
 			if now[i] >= before[i] {
 				loads[i/s.Experts][i%s.Experts] += float64(now[i] - before[i])
 			}
--- a/internal/core/ranks/forecast.go
+++ b/internal/core/ranks/forecast.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	// skewSmoothing is the weight of an interval in the skew that is told, and jump by
-	// how much larger an interval's is to be told at once.
+	// skewSmoothing is the weight of the newest interval in the published skew. A skew more
+	// than skewJumpRatio times the published one replaces it at once.
 	skewSmoothing = 0.4
 	skewJumpRatio = 1.25
 )
 
-// Forecast is what a keeper knows of how much longer than stated its group's passes
-// take. Those who send requests bound them by it.
+// Forecast is a coordinator's estimate of how much longer than configured its group's
+// passes take. Senders of requests use it to limit their rate.
 type Forecast struct {
-	// Skew is the load of the most loaded rank over the mean, summed over the sets,
-	// by the newest counts under the map in force; 0 is unknown.
+	// Skew is the load of the most loaded rank over the mean, summed over the expert sets,
+	// computed from the newest counts and the map in force; 0 is unknown.
 	Skew float64
-	// Loading tells that ranks load experts, which makes passes longer.
+	// Loading reports that ranks are loading experts, which slows passes down.
 	Loading bool
-	// Sequence grows from one forecast of a group to the next; 0 is none.
+	// Sequence increases with each forecast of a group; 0 is none.
 	Sequence uint64
 }
 
-// forecaster makes forecasts. The zero value knows nothing.
+// forecaster computes forecasts. The zero value is ready to use.
 type forecaster struct {
 	skew float64
-	// countedAt is when the newest counts were taken, mapping the map that they were
-	// looked at under.
+	// countedAt and mapping are the time of the counts and the version of the map that skew
+	// was last updated from.
 	countedAt time.Time
 	mapping   held.Version
 }
 
-// observe takes in counts and the map in force, unless both are known.
+// observe updates the skew if the counts or the map in force are new.
 func (f *forecaster) observe(w *countWindow, p *planner.Placement, paces []float64, mapping held.Version) {
 	loads, at, ok := w.newestLoads()
 	if !ok || p == nil || at.Equal(f.countedAt) && mapping == f.mapping {
@@ -51,7 +51,7 @@
 	}
 }
 
-// forecast returns what is known now.
+// forecast returns the current estimate.
 func (f *forecaster) forecast(phase held.Phase) Forecast {
 	return Forecast{Skew: f.skew, Loading: phase == held.PhasePreparing}
 }
--- a/internal/core/ranks/intervals.go
+++ b/internal/core/ranks/intervals.go
@@ -6,48 +6,48 @@
 	"graniteknot.org/go/expertmap/held"
 )
 
-// callPause is by how much longer the keeper of a larger group pauses.
-func (k *Coordinator) callPause() time.Duration {
-	if k.subtrees != nil {
-		return time.Duration(len(k.subtrees)) * perCallPause
+// callPause returns the part of the interval that grows with the number of calls per round.
+func (c *Coordinator) callPause() time.Duration {
+	if c.subtrees != nil {
+		return time.Duration(len(c.subtrees)) * perCallPause
 	}
-	return time.Duration(len(k.Members)) * perCallPause
+	return time.Duration(len(c.Members)) * perCallPause
 }
 
-func (k *Coordinator) countPeriod() time.Duration {
-	if k.window.suspect {
+func (c *Coordinator) countPeriod() time.Duration {
+	if c.window.suspect {
 		return shiftInterval
 	}
 	return countInterval
 }
 
-func (k *Coordinator) roundInterval(p held.Phase) time.Duration {
+func (c *Coordinator) roundInterval(p held.Phase) time.Duration {
 	switch p {
 	case held.PhaseHolding, held.PhaseArming, held.PhaseReleasing:
 		return fastInterval
 	case held.PhasePreparing, held.PhaseArmed:
-		return slowInterval + k.callPause()
+		return slowInterval + c.callPause()
 	case held.PhaseIdle:
-		if k.window.suspect {
+		if c.window.suspect {
 			return shiftInterval
 		}
-		return planInterval + k.callPause()
+		return planInterval + c.callPause()
 	case held.PhaseClosed:
 	}
 	return incompleteInterval
 }
 
-// distributionTime is how long it takes at most to tell all ranks of a large group a map.
+// distributionTime bounds how long it takes to send a map to all ranks of a large group.
 const distributionTime = 150 * time.Millisecond
 
-// switching tells whether a map is being told to the ranks, or is about to be in force.
-// Sums of counts would hold that up on narrow links.
-func (k *Coordinator) switching(now time.Time) bool {
-	switch k.phase {
+// switching reports whether a map is being sent to the ranks or is about to come into
+// force. Reading counts would delay that on narrow links.
+func (c *Coordinator) switching(now time.Time) bool {
+	switch c.phase {
 	case held.PhaseHolding, held.PhaseArming, held.PhaseReleasing:
 		return true
 	case held.PhasePreparing:
-		return now.Sub(k.phaseSince) < distributionTime
+		return now.Sub(c.phaseSince) < distributionTime
 	case held.PhaseClosed, held.PhaseIdle, held.PhaseArmed:
 	}
 	return false
--- a/internal/core/ranks/member.go
+++ b/internal/core/ranks/member.go
@@ -12,122 +12,120 @@
 )
 
 const (
-	// callTimeout bounds one call to a sidecar; TCP sends a lost packet again after
-	// 200 ms at the earliest, and twice as long after that.
+	// callTimeout bounds one call to a sidecar. TCP retransmits a lost packet after 200 ms
+	// at the earliest and doubles that for each further attempt.
 	callTimeout = 700 * time.Millisecond
-	// hedgeDelay is when a call that is not answered is made once more beside it.
-	// Sidecars answer much sooner, so by then a packet was lost or the sidecar does
-	// not run.
+	// hedgeDelay is when an unanswered call is repeated in parallel. Sidecars answer much
+	// sooner, so by then a packet was lost or the sidecar is down.
 	hedgeDelay = 90 * time.Millisecond
-	// maxSameCalls bounds the same calls at a time.
+	// maxSameCalls bounds the concurrent calls with the same content.
 	maxSameCalls = 3
-	// directReportLag is how much older than its reading a rank's report is when it is
-	// read from afar.
+	// directReportLag is the assumed age of a rank's report when it is read directly from
+	// another box.
 	directReportLag = 400 * time.Millisecond
-	// sidecarSilenceLimit is how long a sidecar may be silent before its rank is
-	// reached from afar, which costs.
+	// sidecarSilenceLimit is how long a sidecar may be silent before its rank is called
+	// directly, which costs more.
 	sidecarSilenceLimit = 400 * time.Millisecond
 )
 
-// Member is one rank as the keeper reaches it. Its calls go on in the
-// background: a rank that is slow to answer holds up nothing but what needs its
-// answer.
+// Member is the coordinator's connection to one rank. Calls run in the background, so a
+// slow rank delays only what needs its answer.
 type Member struct {
 	rank graniteknot.Rank
-	// clock is the keeper's.
+	// clock is the coordinator's.
 	clock graniteknot.AgeClock
-	// client is the sidecar's calls.
+	// client calls the sidecar.
 	client wire.Ranks
-	// address is the sidecar's, for others to reach it; empty when it has none.
+	// address is where other sidecars reach this one; empty if they can't.
 	address graniteknot.Address
 	// zone is the sidecar's; empty is unknown.
 	zone graniteknot.AvailabilityZone
-	// subtreeIndex is the number of the subtreeIndex that the member of a large group is in.
+	// subtreeIndex is the member's relay subtree in a large group.
 	subtreeIndex int
-	// direct is the rank itself, from afar; nil for none.
+	// direct calls the rank without its sidecar; nil if that is not possible.
 	direct held.Rank
 	calls  group.Group
 
 	mu sync.Mutex
-	// latest is the latest look that was answered, which began at lookedAt.
+	// latest is the newest snapshot, from a look that began at latestAt.
 	latest   snapshot
 	latestAt time.Time
-	// heardAt is when the sidecar answered last, or was asked first.
+	// heardAt is when the sidecar last answered, or was first called.
 	heardAt time.Time
-	// inFlight are the calls inFlight way, with when the last of the same was made.
+	// inFlight counts the calls in flight by content.
 	inFlight map[callKey]inFlightCalls
-	// fenceAccepted tells that the rank fenceAccepted an order of this keeper.
+	// fenceAccepted reports that the rank answered an order of this coordinator.
 	fenceAccepted bool
-	// foreignFence is the highest fence of another keeper that was heard of.
+	// foreignFence is the highest fencing token reported for another coordinator.
 	foreignFence graniteknot.Position
 }
 
-// callKey tells calls apart: a look, or an order.
+// callKey identifies calls with the same content: a look or an order.
 type callKey struct {
 	look  bool
 	order held.Order
 }
 
-// inFlightCalls counts the same calls at a time.
+// inFlightCalls counts concurrent calls with the same content.
 type inFlightCalls struct {
 	count       int
 	lastStarted time.Time
 }
 
-// begin notes one more; false when enough are under way.
-func (u *inFlightCalls) begin(now time.Time) bool {
-	if u.count >= maxSameCalls || u.count > 0 && now.Sub(u.lastStarted) < hedgeDelay {
+// begin adds a call; false when there are enough.
+func (f *inFlightCalls) begin(now time.Time) bool {
+	if f.count >= maxSameCalls || f.count > 0 && now.Sub(f.lastStarted) < hedgeDelay {
 		return false
 	}
-	u.count++
-	u.lastStarted = now
+	f.count++
+	f.lastStarted = now
 	return true
 }
 
-// snapshot is one look at a rank.
+// snapshot is the state of a rank as of one look.
 type snapshot struct {
 	state  held.State
 	counts []uint64
 	lists  [][]graniteknot.Expert
-	// pace above 1 is a slow rank; 0 is unknown.
+	// pace is the rank's pass time relative to normal; above 1 is slow, 0 is unknown.
 	pace float64
 }
 
-// NewMember returns a rank that is reached through its sidecar's calls and, when
-// the sidecar is silent, from afar; direct may be nil. The address is where other
-// sidecars reach the sidecar; empty for one that they can't.
-func NewMember(r graniteknot.Rank, doer wire.Ranks, address graniteknot.Address, direct held.Rank) *Member {
-	return &Member{rank: r, client: doer, address: address, direct: direct, inFlight: map[callKey]inFlightCalls{}}
+// NewMember returns a member that is called through its sidecar's client or, when the
+// sidecar is silent, through direct, which may be nil. The address is where other sidecars
+// reach its sidecar; empty if they can't.
+func NewMember(r graniteknot.Rank, client wire.Ranks, address graniteknot.Address, direct held.Rank) *Member {
+	return &Member{rank: r, client: client, address: address, direct: direct, inFlight: map[callKey]inFlightCalls{}}
 }
 
-// beginCall notes a call that is to be made now; false when enough of the same are
-// under way.
+// beginCall adds a call in flight; false when there are enough with the same content.
 func (m *Member) beginCall(c callKey, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.heardAt.IsZero() {
 		m.heardAt = now
 	}
-	u := m.inFlight[c]
-	if !u.begin(now) {
+	calls := m.inFlight[c]
+	if !calls.begin(now) {
 		return false
 	}
-	m.inFlight[c] = u
+	m.inFlight[c] = calls
 	return true
 }
 
 func (m *Member) endCall(c callKey) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	u := m.inFlight[c]
-	u.count--
-	m.inFlight[c] = u
-	if u.count == 0 {
+	calls := m.inFlight[c]
+	calls.count--
+	m.inFlight[c] = calls
+	if calls.count == 0 {
 		delete(m.inFlight, c)
 	}
 }
 
-// look begins to read the rank, and calls done when that has ended.
+// look starts to read the rank and calls done when that has ended. It does nothing if
+// enough looks are in flight.
 func (m *Member) look(r *wire.LookRequest, now time.Time, done func()) {
 	c := callKey{look: true}
 	if !m.beginCall(c, now) {
@@ -149,15 +147,16 @@
 	})
 }
 
-// sidecarSilent tells whether the sidecar has not answered for too long.
+// sidecarSilent reports whether the sidecar has not answered for too long and the rank can
+// be called directly.
 func (m *Member) sidecarSilent(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.direct != nil && now.Sub(m.heardAt) > sidecarSilenceLimit
 }
 
-// lookDirect reads the rank from afar, with what it holds of the map in force if
-// that is not known yet. Counts from afar would cost too much.
+// lookDirect reads the rank without its sidecar, and its expert lists if the map in force
+// is unknown. Reading counts remotely would cost too much.
 func (m *Member) lookDirect(ctx context.Context, lists bool, began time.Time) {
 	m.calls.Go(func(ctx context.Context) { m.ping(ctx) })
 	report, err := m.direct.Report(ctx)
@@ -173,7 +172,7 @@
 	m.storeSnapshot(s, began.Add(-directReportLag))
 }
 
-// ping finds out whether a silent sidecar answers again.
+// ping checks whether a silent sidecar answers again.
 func (m *Member) ping(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -194,7 +193,7 @@
 	}
 }
 
-// storeSnapshot keeps a look unless a later one was answered before.
+// storeSnapshot stores a snapshot unless a newer one is known.
 func (m *Member) storeSnapshot(s snapshot, began time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -210,21 +209,23 @@
 	m.latest, m.latestAt = s, began
 }
 
-// lastSnapshot returns the last look and when it began; zero before the first.
+// lastSnapshot returns the newest snapshot and when its look began; a zero time if there is
+// none.
 func (m *Member) lastSnapshot() (snapshot, time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.latest, m.latestAt
 }
 
-// knowsFence tells whether the rank takes no more orders of former keepers.
-func (m *Member) knowsFence() bool {
+// acceptsFence reports whether the rank has accepted this coordinator's fencing token and so
+// refuses orders of former ones.
+func (m *Member) acceptsFence() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.fenceAccepted
 }
 
-// otherFence returns the highest fence of another keeper that was heard of.
+// otherFence returns the highest fencing token reported for another coordinator.
 func (m *Member) otherFence() graniteknot.Position {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/core/ranks/member_order.go
+++ b/internal/core/ranks/member_order.go
@@ -8,11 +8,12 @@
 	"graniteknot.org/go/internal/wire"
 )
 
-// directAttemptTimeout bounds one try of an order to a rank from afar: it takes a way of a
-// few milliseconds, or gets no answer at all.
+// directAttemptTimeout bounds one attempt to give an order to a remote rank, which answers
+// within a few milliseconds or not at all.
 const directAttemptTimeout = 80 * time.Millisecond
 
-// sendOrder begins to sendOrder an order, and calls done when that has ended.
+// sendOrder starts to send an order and calls done when that has ended. It does nothing if
+// enough of the same order are in flight.
 func (m *Member) sendOrder(c *held.Command, now time.Time, done func()) {
 	key := callKey{order: c.Order}
 	if !m.beginCall(key, now) {
@@ -27,17 +28,17 @@
 	})
 }
 
-// deliver gives an deliver, a hold from the keeper's own box: it is then the
-// keeper's box that gave the last deliver before the group may stand.
+// deliver gives the rank an order. Hold orders go directly, so that the coordinator's own
+// box gives the last order before the group may stall.
 func (m *Member) deliver(ctx context.Context, c *held.Command, now time.Time) held.Result {
 	if m.sidecarSilent(now) || c.Kind == held.KindHold && m.direct != nil {
 		return m.deliverDirect(ctx, c)
 	}
 	reply, err := m.client.Give(ctx, giveRequest(c))
 	if err == nil && reply.GetUnknownBase() {
-		whole := *c
-		whole.Base = nil
-		reply, err = m.client.Give(ctx, commandToWire(&whole))
+		full := *c
+		full.Base = nil
+		reply, err = m.client.Give(ctx, commandToWire(&full))
 	}
 	if err != nil {
 		return held.ResultLost
@@ -45,8 +46,8 @@
 	return held.Result(reply.GetResult())
 }
 
-// deliverDirect gives an order from afar until it is answered or the time is over.
-// The same order again changes nothing if the first was taken.
+// deliverDirect gives an order without the sidecar and repeats it until it is answered or
+// ctx ends. Orders are idempotent.
 func (m *Member) deliverDirect(ctx context.Context, c *held.Command) held.Result {
 	for {
 		result, err := orderOnce(ctx, m.direct, c, directAttemptTimeout)
@@ -56,19 +57,19 @@
 	}
 }
 
-// orderOnce gives an order once. One that gets no answer takes all of the time,
-// also where it fails at once, so that the next try does not follow too soon.
-func orderOnce(ctx context.Context, rank held.Rank, c *held.Command, d time.Duration) (held.Result, error) {
-	short, cancel := context.WithTimeout(ctx, d)
+// orderOnce makes one attempt to give an order. A lost one takes the whole timeout even if
+// it fails at once, which paces the retries.
+func orderOnce(ctx context.Context, rank held.Rank, c *held.Command, timeout time.Duration) (held.Result, error) {
+	attempt, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	result, err := rank.Order(short, c)
+	result, err := rank.Order(attempt, c)
 	if result == held.ResultLost {
-		<-short.Done()
+		<-attempt.Done()
 	}
 	return result, err
 }
 
-// recordResult takes in what became of an order.
+// recordResult updates the member with the result of an order.
 func (m *Member) recordResult(r held.Result, c *held.Command) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -84,8 +85,8 @@
 	}
 }
 
-// applyDone takes in that the rank has done an order: its word is as good as a
-// look, and comes at once. Looks that began before it are not kept.
+// applyDone updates the snapshot with an order that the rank carried out. This is as good
+// as a look and available sooner. Looks that began before it are discarded.
 func (m *Member) applyDone(c *held.Command) {
 	s := &m.latest.state
 	if s.Epoch != c.Epoch || m.latestAt.IsZero() {
@@ -106,8 +107,7 @@
 	m.latestAt = m.clock.Now()
 }
 
-// giveRequest tells a map by how it differs from the one that it is based on, if
-// there is one.
+// giveRequest encodes a command, with the map as moves from its base if there is one.
 func giveRequest(c *held.Command) *wire.GiveRequest {
 	r := commandToWire(c)
 	if c.Base != nil {
--- a/internal/core/ranks/orders.go
+++ b/internal/core/ranks/orders.go
@@ -7,77 +7,79 @@
 	"graniteknot.org/go/expertmap/held"
 )
 
-// sendOrders gives orders to their ranks and waits a little for their answers.
-func (k *Coordinator) sendOrders(ctx context.Context, orders []held.Order, now time.Time) bool {
+// sendOrders sends orders to their ranks and waits briefly for the answers. It reports
+// whether all were answered in time.
+func (c *Coordinator) sendOrders(ctx context.Context, orders []held.Order, now time.Time) bool {
 	if len(orders) == 0 {
 		return false
 	}
-	w := newPendingCalls(len(orders))
-	var together []held.Order
+	calls := newPendingCalls(len(orders))
+	var relayed []held.Order
 	for _, o := range orders {
 		if o.Kind == held.KindPrepare {
-			if now.Sub(k.preparedAt[o.Rank]) < k.maxLoadTime()+prepareRetryDelay {
-				w.done()
+			if now.Sub(c.preparedAt[o.Rank]) < c.maxLoadTime()+prepareRetryDelay {
+				calls.done()
 				continue
 			}
-			k.preparedAt[o.Rank] = now
+			c.preparedAt[o.Rank] = now
 		}
-		k.recordSteps(&o)
-		if k.subtrees != nil && o.Kind != held.KindHold && !k.Members[o.Rank].needsDirectCall(now) {
-			together = append(together, o)
+		c.recordSteps(&o)
+		if c.subtrees != nil && o.Kind != held.KindHold && !c.Members[o.Rank].needsDirectCall(now) {
+			relayed = append(relayed, o)
 			continue
 		}
-		k.Members[o.Rank].sendOrder(k.command(&o), now, w.done)
+		c.Members[o.Rank].sendOrder(c.command(&o), now, calls.done)
 	}
-	k.sendBatches(together, now, w.done)
-	return w.wait(ctx, replyWait)
+	c.sendBatches(relayed, now, calls.done)
+	return calls.wait(ctx, replyWait)
 }
 
-// sendBatches gives orders through a few sidecars, each to the ranks of its part
-// that get the same.
-func (k *Coordinator) sendBatches(orders []held.Order, now time.Time, done func()) {
+// sendBatches groups equal orders by subtree and sends each group through one relay.
+func (c *Coordinator) sendBatches(orders []held.Order, now time.Time, done func()) {
 	type batch struct {
-		part  int
-		order held.Order
+		subtreeIndex int
+		order        held.Order
 	}
 	batches := map[batch][]*Member{}
 	for _, o := range orders {
-		same := o
-		same.Rank = 0
-		b := batch{part: k.Members[o.Rank].subtreeIndex, order: same}
-		batches[b] = append(batches[b], k.Members[o.Rank])
+		common := o
+		common.Rank = 0
+		b := batch{subtreeIndex: c.Members[o.Rank].subtreeIndex, order: common}
+		batches[b] = append(batches[b], c.Members[o.Rank])
 	}
 	for b, members := range batches {
-		sendThroughRelay(members, k.command(&b.order), now, done)
+		sendThroughRelay(members, c.command(&b.order), now, done)
 	}
 }
 
-// command is an order with what carries it.
-func (k *Coordinator) command(o *held.Order) *held.Command {
-	c := &held.Command{Order: *o, Fence: k.Fence}
-	if o.Kind == held.KindPrepare {
-		c.Placement = k.pending
-		c.Base, c.BaseVersion = k.placement, k.mapping
+// command adds the fencing token and, for a prepare order, the map and its base.
+func (c *Coordinator) command(order *held.Order) *held.Command {
+	command := &held.Command{Order: *order, Fence: c.Fence}
+	if order.Kind == held.KindPrepare {
+		command.Placement = c.pending
+		command.Base, command.BaseVersion = c.placement, c.mapping
 	}
-	return c
+	return command
 }
 
-// recordSteps notes the steps that must not change until they are passed.
-func (k *Coordinator) recordSteps(o *held.Order) {
+// recordSteps stores the steps of hold and arm orders, which must not change until the
+// group has passed them.
+func (c *Coordinator) recordSteps(o *held.Order) {
 	switch o.Kind {
 	case held.KindHold:
-		k.desired.Hold = o.Step
+		c.desired.Hold = o.Step
 	case held.KindArm:
-		k.desired.ArmAt = o.Step
+		c.desired.ArmAt = o.Step
 	case held.KindPrepare, held.KindGo:
 	}
 }
 
-// maxLoadTime is how long a rank takes to load all it may.
-func (k *Coordinator) maxLoadTime() time.Duration {
-	e := k.Engine.Experts
-	if e.Bandwidth <= 0 {
+// maxLoadTime returns how long a rank takes to load as many experts as it has spare slots
+// for.
+func (c *Coordinator) maxLoadTime() time.Duration {
+	experts := c.Engine.Experts
+	if experts.Bandwidth <= 0 {
 		return prepareRetryDelay
 	}
-	return time.Duration(float64(e.Spare*e.Sets) * float64(e.Size) / e.Bandwidth * float64(time.Second))
+	return time.Duration(float64(experts.Spare*experts.Sets) * float64(experts.Size) / experts.Bandwidth * float64(time.Second))
 }
--- a/internal/core/ranks/paces.go
+++ b/internal/core/ranks/paces.go
@@ -5,45 +5,45 @@
 	"slices"
 )
 
-// minSlowPace is by how much slower than the fastest a rank has to be for its load
-// to be taken off it. Below that its experts would move back and forth.
+// minSlowPace is the pace, relative to the fastest rank, from which a rank's load is
+// reduced. With less, experts would move back and forth.
 const minSlowPace = 1.2
 
-// updatePaces takes in how updatePaces the ranks tell they are. In a lock-step group all wait
-// for a updatePaces one, which is not overloaded: it needs less than the others.
-func (k *Coordinator) updatePaces(looks []snapshot) {
-	paces := relativePaces(looks)
-	if slices.Equal(paces, k.paces) {
+// updatePaces updates the ranks' relative paces. In a lock-step group all ranks wait for a
+// slow one. It is not overloaded, but has to get less load than the others.
+func (c *Coordinator) updatePaces(snapshots []snapshot) {
+	paces := relativePaces(snapshots)
+	if slices.Equal(paces, c.paces) {
 		return
 	}
-	k.paces = paces
-	most, slowest := 1.0, -1
+	c.paces = paces
+	highest, slowest := 1.0, -1
 	for r, p := range paces {
-		if p > most {
-			most, slowest = p, r
+		if p > highest {
+			highest, slowest = p, r
 		}
 	}
-	k.Log.Info("slow ranks", slog.Int("slowest", slowest), slog.Float64("times", most), slog.Int64("epoch", int64(k.epoch)))
+	c.Log.Info("slow ranks", slog.Int("slowest", slowest), slog.Float64("times", highest), slog.Int64("epoch", int64(c.epoch)))
 }
 
-// relativePaces returns how many times slower than the fastest each rank is; nil when
-// none is slow.
-func relativePaces(looks []snapshot) []float64 {
+// relativePaces returns each rank's pass time relative to the fastest; nil when none is
+// slow.
+func relativePaces(snapshots []snapshot) []float64 {
 	fastest := 0.0
-	for i := range looks {
-		if p := looks[i].pace; p > 0 && (fastest == 0 || p < fastest) {
+	for i := range snapshots {
+		if p := snapshots[i].pace; p > 0 && (fastest == 0 || p < fastest) {
 			fastest = p
 		}
 	}
-	out := make([]float64, len(looks))
-	found := false
-	for i := range looks {
+	out := make([]float64, len(snapshots))
+	slow := false
+	for i := range snapshots {
 		out[i] = 1
-		if fastest > 0 && looks[i].pace >= minSlowPace*fastest {
-			out[i], found = looks[i].pace/fastest, true
+		if fastest > 0 && snapshots[i].pace >= minSlowPace*fastest {
+			out[i], slow = snapshots[i].pace/fastest, true
 		}
 	}
-	if !found {
+	if !slow {
 		return nil
 	}
 	return out
--- a/internal/core/ranks/pending_calls.go
+++ b/internal/core/ranks/pending_calls.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// pendingCalls waits until some calls have ended. Make it with newWaiter.
+// pendingCalls waits for a number of calls to end. Create it with newPendingCalls.
 type pendingCalls struct {
 	mu        sync.Mutex
 	remaining int
@@ -17,22 +17,22 @@
 	return &pendingCalls{remaining: n, finished: make(chan struct{})}
 }
 
-// done notes the end of one call.
-func (w *pendingCalls) done() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.remaining--
-	if w.remaining == 0 {
-		close(w.finished)
+// done records the end of one call.
+func (p *pendingCalls) done() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.remaining--
+	if p.remaining == 0 {
+		close(p.finished)
 	}
 }
 
-// wait returns when all calls have ended, or after a time; then false.
-func (w *pendingCalls) wait(ctx context.Context, d time.Duration) bool {
+// wait returns true when all calls have ended, or false after d.
+func (p *pendingCalls) wait(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
-	case <-w.finished:
+	case <-p.finished:
 		return true
 	case <-timer.C:
 	case <-ctx.Done():
--- a/internal/core/ranks/snapshots.go
+++ b/internal/core/ranks/snapshots.go
@@ -9,98 +9,101 @@
 	"graniteknot.org/go/internal/wire"
 )
 
-// snapshots returns what is known of all ranks; false when that is too little.
-func (k *Coordinator) snapshots() (looks []snapshot, whole bool) {
-	looks = make([]snapshot, len(k.Members))
-	for i, m := range k.Members {
+// snapshots returns the latest snapshot of every rank; false when one is missing or too
+// old.
+func (c *Coordinator) snapshots() (snapshots []snapshot, complete bool) {
+	snapshots = make([]snapshot, len(c.Members))
+	for i, m := range c.Members {
 		last, at := m.lastSnapshot()
-		if k.Clock.Since(at) > maxLookAge {
+		if c.Clock.Since(at) > maxLookAge {
 			return nil, false
 		}
-		looks[i] = last
+		snapshots[i] = last
 	}
-	return looks, true
+	return snapshots, true
 }
 
-// lookAll asks all ranks and waits a little: those of a large group through a few
-// sidecars, and the ones that are not reached so directly.
-func (k *Coordinator) lookAll(ctx context.Context, r *wire.LookRequest, now time.Time) {
-	direct := k.Members
-	if k.subtrees != nil {
+// lookAll reads all ranks and waits briefly for the answers. In a large group it goes
+// through relays, and calls directly the ranks that these do not reach.
+func (c *Coordinator) lookAll(ctx context.Context, r *wire.LookRequest, now time.Time) {
+	direct := c.Members
+	if c.subtrees != nil {
 		direct = nil
-		for _, m := range k.Members {
+		for _, m := range c.Members {
 			if m.needsDirectCall(now) {
 				direct = append(direct, m)
 			}
 		}
 	}
-	w := newPendingCalls(len(k.subtrees) + len(direct))
-	for _, p := range k.subtrees {
-		p.look(r, now, w.done)
+	calls := newPendingCalls(len(c.subtrees) + len(direct))
+	for _, tree := range c.subtrees {
+		tree.look(r, now, calls.done)
 	}
 	for _, m := range direct {
-		m.look(r, now, w.done)
+		m.look(r, now, calls.done)
 	}
-	w.wait(ctx, replyWait)
+	calls.wait(ctx, replyWait)
 }
 
-// otherFence returns the highest fence of another keeper that any rank told.
-func (k *Coordinator) otherFence() graniteknot.Position {
+// otherFence returns the highest fencing token of another coordinator that any rank
+// reported.
+func (c *Coordinator) otherFence() graniteknot.Position {
 	var highest graniteknot.Position
-	for _, m := range k.Members {
+	for _, m := range c.Members {
 		highest = max(highest, m.otherFence())
 	}
 	return highest
 }
 
-// holder is the rank that holds: the one after the keeper's own.
-func (k *Coordinator) holder() graniteknot.Rank {
-	return (k.OwnRank + 1) % graniteknot.Rank(len(k.Members))
+// holder returns the rank that holds steps: the one after the coordinator's own.
+func (c *Coordinator) holder() graniteknot.Rank {
+	return (c.OwnRank + 1) % graniteknot.Rank(len(c.Members))
 }
 
-// roundWithoutFormer goes on while some rank can't be read. If it is the former keeper's
-// alone, the step that it held may begin.
-func (k *Coordinator) roundWithoutFormer(ctx context.Context, now time.Time) time.Duration {
-	states := make([]held.State, len(k.Members))
+// roundWithoutFormer is a round in which some rank can't be read. If that is only the
+// former coordinator's rank, the step that it held may be released.
+func (c *Coordinator) roundWithoutFormer(ctx context.Context, now time.Time) time.Duration {
+	states := make([]held.State, len(c.Members))
 	var orders []held.Order
-	for i, m := range k.Members {
+	for i, m := range c.Members {
 		last, at := m.lastSnapshot()
 		states[i] = last.state
-		if graniteknot.Rank(i) == k.FormerRank {
+		if graniteknot.Rank(i) == c.FormerRank {
 			continue
 		}
-		if at.IsZero() || k.Clock.Since(at) > maxLookAge || !last.state.Open || last.state.Epoch != k.epoch {
-			// What was foretold is of a map that may be forgotten.
-			k.resetCounts()
+		if at.IsZero() || c.Clock.Since(at) > maxLookAge || !last.state.Open || last.state.Epoch != c.epoch {
+			// The map that the counts and the forecast are for may have been dropped.
+			c.resetCounts()
 		}
-		if k.Clock.Since(at) > maxLookAge {
-			k.enterPhase(held.PhaseClosed)
+		if c.Clock.Since(at) > maxLookAge {
+			c.enterPhase(held.PhaseClosed)
 			return incompleteInterval
 		}
-		if !m.knowsFence() {
+		if !m.acceptsFence() {
 			orders = append(orders, held.Order{Kind: held.KindGo, Rank: graniteknot.Rank(i), Step: held.Never, Epoch: last.state.Epoch})
 		}
 	}
-	if k.FormerRank == k.OwnRank {
-		k.enterPhase(held.PhaseClosed)
+	if c.FormerRank == c.OwnRank {
+		c.enterPhase(held.PhaseClosed)
 		return incompleteInterval
 	}
 	if len(orders) > 0 {
-		k.sendOrders(ctx, orders, now)
+		c.sendOrders(ctx, orders, now)
 		return fastInterval
 	}
-	d := held.DecideWithout(states, k.FormerRank, k.desired)
-	k.desired.Freed = max(k.desired.Freed, d.Freed)
-	k.enterPhase(d.Phase)
-	k.sendOrders(ctx, d.Orders, now)
+	decision := held.DecideWithout(states, c.FormerRank, c.desired)
+	c.desired.Freed = max(c.desired.Freed, decision.Freed)
+	c.enterPhase(decision.Phase)
+	c.sendOrders(ctx, decision.Orders, now)
 	return incompleteInterval
 }
 
-// fenceOrders returns an order to each rank that does not know the keeper's fence.
-func (k *Coordinator) fenceOrders(states []held.State) []held.Order {
+// fenceOrders returns an order for each rank that has not yet accepted the coordinator's
+// fencing token.
+func (c *Coordinator) fenceOrders(states []held.State) []held.Order {
 	var out []held.Order
-	for r, m := range k.Members {
-		if !m.knowsFence() {
+	for r, m := range c.Members {
+		if !m.acceptsFence() {
 			out = append(out, held.Order{Kind: held.KindGo, Rank: graniteknot.Rank(r), Step: held.Never, Epoch: states[r].Epoch})
 		}
 	}
--- a/internal/core/ranks/subtree.go
+++ b/internal/core/ranks/subtree.go
@@ -10,77 +10,77 @@
 	"graniteknot.org/go/internal/wire"
 )
 
-// relaySilenceLimit is how old a look through another sidecar may be before the
-// keeper looks itself.
+// relaySilenceLimit is how old a rank's relayed snapshot may be before the coordinator
+// calls it directly.
 const relaySilenceLimit = 250 * time.Millisecond
 
-// subtree is some ranks of a large group that the keeper reaches through the sidecar
-// of the first.
+// subtree is a set of ranks in a large group that the coordinator reaches through the
+// sidecar of the first.
 type subtree struct {
 	members []*Member
 
 	mu sync.Mutex
-	// inFlight are the looks inFlight way.
+	// inFlight counts the looks in flight.
 	inFlight inFlightCalls
 }
 
-// newSubtrees divides the members of a large group; nil for a small one, or where
-// the sidecars can't reach each other.
+// newSubtrees splits the members of a large group into relay subtrees; nil for a small
+// group, or where sidecars can't reach each other.
 func newSubtrees(members []*Member, own graniteknot.Rank) []*subtree {
 	if len(members) < minRelayedGroup || !allAddressed(members) {
 		return nil
 	}
 	var out []*subtree
-	for i, some := range splitGroup(members, own) {
-		for _, m := range some {
+	for i, part := range splitGroup(members, own) {
+		for _, m := range part {
 			m.subtreeIndex = i
 		}
-		out = append(out, &subtree{members: some})
+		out = append(out, &subtree{members: part})
 	}
 	return out
 }
 
-// beginLook notes a look that is to beginLook now; false when enough are under way. A
-// datagram that was lost holds up no later look for long.
-func (p *subtree) beginLook(now time.Time) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.inFlight.begin(now)
+// beginLook adds a look in flight; false when there are enough. A lost datagram does not
+// delay later looks for long.
+func (s *subtree) beginLook(now time.Time) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.inFlight.begin(now)
 }
 
-func (p *subtree) endLook() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.inFlight.count--
+func (s *subtree) endLook() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.inFlight.count--
 }
 
-// look begins to read the part's ranks, unless that is under way, and calls done
-// when it has ended.
-func (p *subtree) look(r *wire.LookRequest, now time.Time, done func()) {
-	if !p.beginLook(now) {
+// look starts to read the subtree's ranks and calls done when that has ended. It does
+// nothing if enough looks are in flight.
+func (s *subtree) look(r *wire.LookRequest, now time.Time, done func()) {
+	if !s.beginLook(now) {
 		return
 	}
-	reached := responsive(p.members, now)
-	if len(reached) == 0 {
-		p.endLook()
+	responding := responsive(s.members, now)
+	if len(responding) == 0 {
+		s.endLook()
 		done()
 		return
 	}
-	first := reached[0]
-	first.calls.Go(func(ctx context.Context) {
+	relay := responding[0]
+	relay.calls.Go(func(ctx context.Context) {
 		defer done()
-		defer p.endLook()
+		defer s.endLook()
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		reply, err := first.client.LookAll(ctx, &wire.LookAllRequest{Look: r, Sidecars: relayedSidecars(reached)})
+		reply, err := relay.client.LookAll(ctx, &wire.LookAllRequest{Look: r, Sidecars: relayedSidecars(responding)})
 		if err != nil {
-			// The members' last looks grow old, and the keeper looks itself.
+			// The members' snapshots age until the coordinator calls them directly.
 			return
 		}
-		for _, one := range reply.GetAlike() {
-			for _, place := range one.GetPlaces() {
-				if place >= 0 && int(place) < len(reached) {
-					reached[place].recordReply(one.GetLook(), now)
+		for _, merged := range reply.GetAlike() {
+			for _, position := range merged.GetPlaces() {
+				if position >= 0 && int(position) < len(responding) {
+					responding[position].recordReply(merged.GetLook(), now)
 				}
 			}
 		}
@@ -98,8 +98,8 @@
 	return out
 }
 
-// needsDirectCall tells whether the sidecar was not heard through another one for too
-// long, and has to be reached directly.
+// needsDirectCall reports whether the sidecar has been silent for too long to be reached
+// through a relay.
 func (m *Member) needsDirectCall(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -109,25 +109,25 @@
 	return now.Sub(m.heardAt) > relaySilenceLimit
 }
 
-// sendThroughRelay begins to give one command to some members through the first of them,
-// and calls done for each when that has ended. Those that the first did not reach
-// are given it directly.
+// sendThroughRelay starts to send one command to members through the first of them, and
+// calls done for each when that has ended. Members that the relay does not reach are called
+// directly.
 func sendThroughRelay(members []*Member, c *held.Command, now time.Time, done func()) {
 	key := callKey{order: c.Order}
 	key.order.Rank = 0
-	var begun []*Member
+	var accepted []*Member
 	for _, m := range members {
 		if m.beginCall(key, now) {
-			begun = append(begun, m)
+			accepted = append(accepted, m)
 		}
 	}
-	if len(begun) == 0 {
+	if len(accepted) == 0 {
 		return
 	}
-	first := begun[0]
-	first.calls.Go(func(ctx context.Context) {
-		results := first.relayOrder(ctx, begun, c)
-		for i, m := range begun {
+	relay := accepted[0]
+	relay.calls.Go(func(ctx context.Context) {
+		results := relay.relayOrder(ctx, accepted, c)
+		for i, m := range accepted {
 			if results != nil && results[i] != held.ResultLost {
 				m.recordResult(results[i], c)
 				m.endCall(key)
@@ -140,8 +140,7 @@
 	})
 }
 
-// relayOrder gives a command to several members through this one; nil when it
-// did not answer.
+// relayOrder sends a command to members through this one; nil when it did not answer.
 func (m *Member) relayOrder(ctx context.Context, members []*Member, c *held.Command) []held.Result {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -151,9 +150,9 @@
 		return nil
 	}
 	out := make([]held.Result, len(members))
-	for i, one := range reply.GetReplies() {
-		out[i] = held.Result(one.GetResult())
-		if one.GetUnknownBase() {
+	for i, r := range reply.GetReplies() {
+		out[i] = held.Result(r.GetResult())
+		if r.GetUnknownBase() {
 			out[i] = held.ResultLost
 		}
 	}
--- a/internal/core/ranks/switch_timing.go
+++ b/internal/core/ranks/switch_timing.go
@@ -7,60 +7,59 @@
 	"graniteknot.org/go/expertmap/held"
 )
 
-// While orders come late, switches take long, each another time, and a group that
-// waits for one makes all of its streams late by a pause. longestSwitchDecay is what is kept, from
-// switch to switch, of the longest time that one has taken, and leadMargin by how much longer
-// than that the next one may take.
+// Late orders make the duration of switches vary, and a group that stalls for one pauses
+// all of its streams. longestSwitchDecay is the fraction of the longest duration kept from
+// switch to switch, leadMargin the factor by which the next switch may exceed it.
 const (
 	longestSwitchDecay = 0.92
 	leadMargin         = 1.5
 )
 
-// switchTiming knows how long passes and switches take, and so how far ahead a step has
-// to be held for the group not to stand. The zero value knows nothing.
+// switchTiming measures passes and switches to choose how far ahead a step has to be held
+// for the group not to stall. The zero value is ready to use.
 type switchTiming struct {
 	step   graniteknot.Step
 	seenAt time.Time
-	// passTime is a moving mean of a passTime's time.
+	// passTime is the moving average of a pass's duration.
 	passTime time.Duration
-	// switchStarted is when the present switch asked for a hold; zero between switches.
+	// switchStarted is when the current switch requested a hold; zero between switches.
 	switchStarted time.Time
-	// longestSwitch is how long switches take from there to the release, at most.
+	// longestSwitch is the decaying maximum of the time from there to the release.
 	longestSwitch time.Duration
 }
 
-// observe takes in the last pass that was begun.
-func (p *switchTiming) observe(step graniteknot.Step, now time.Time) {
+// observe records the latest pass begun.
+func (t *switchTiming) observe(step graniteknot.Step, now time.Time) {
 	const weight = 4
-	if passes := time.Duration(step - p.step); step > p.step && !p.seenAt.IsZero() {
-		p.passTime += (now.Sub(p.seenAt)/passes - p.passTime) / weight
+	if passes := time.Duration(step - t.step); step > t.step && !t.seenAt.IsZero() {
+		t.passTime += (now.Sub(t.seenAt)/passes - t.passTime) / weight
 	}
-	if step != p.step {
-		p.step, p.seenAt = step, now
+	if step != t.step {
+		t.step, t.seenAt = step, now
 	}
 }
 
-// enterPhase takes in the phase that a switch has reached.
-func (p *switchTiming) enterPhase(phase held.Phase, now time.Time) {
+// enterPhase records the phase that a switch has reached.
+func (t *switchTiming) enterPhase(phase held.Phase, now time.Time) {
 	switch phase {
 	case held.PhaseHolding:
-		p.switchStarted = now
+		t.switchStarted = now
 	case held.PhaseArmed, held.PhaseIdle:
-		if !p.switchStarted.IsZero() {
-			p.longestSwitch = max(now.Sub(p.switchStarted), time.Duration(longestSwitchDecay*float64(p.longestSwitch)))
-			p.switchStarted = time.Time{}
+		if !t.switchStarted.IsZero() {
+			t.longestSwitch = max(now.Sub(t.switchStarted), time.Duration(longestSwitchDecay*float64(t.longestSwitch)))
+			t.switchStarted = time.Time{}
 		}
 	case held.PhaseClosed:
-		p.switchStarted = time.Time{}
+		t.switchStarted = time.Time{}
 	case held.PhasePreparing, held.PhaseArming, held.PhaseReleasing:
 	}
 }
 
-// lead is how many passes ahead a step is to be held.
-func (p *switchTiming) lead() graniteknot.Step {
-	if p.passTime <= 0 {
+// lead returns how many passes ahead a step is to be held.
+func (t *switchTiming) lead() graniteknot.Step {
+	if t.passTime <= 0 {
 		return minLead
 	}
-	passes := graniteknot.Step(leadMargin * float64(p.longestSwitch) / float64(p.passTime))
+	passes := graniteknot.Step(leadMargin * float64(t.longestSwitch) / float64(t.passTime))
 	return min(max(passes+1, minLead), maxLead)
 }
--- a/internal/core/ranks/tree.go
+++ b/internal/core/ranks/tree.go
@@ -9,50 +9,48 @@
 )
 
 const (
-	// minRelayedGroup is the size from which a keeper reaches its ranks through
-	// others: below it, a call to each costs less than the second hop.
+	// minRelayedGroup is the group size from which the coordinator uses relays. Below it, a
+	// call to each rank costs less than a second hop.
 	minRelayedGroup = 24
-	// minSubtree is how many ranks one sidecar reaches at least for the keeper of a
-	// large group, and directly: about the root of a group of 64.
-	minSubtree = 8
+	// minSubtreeSize is the minimum number of ranks reached through one relay of a large group,
+	// all of them directly: about the square root of a group of 64.
+	minSubtreeSize = 8
 )
 
-// subtreeSize is how many ranks the keeper of so many reaches through one sidecar.
-// Up to 64 ranks it reaches sidecars that reach the others; in larger groups there is
-// one level more between, and each sidecar speaks to about the cube root of the
-// ranks. What a box of the tree sends and receives therefore grows by the cube root
-// of the group: a map of 700 moves, which takes 4 KB, costs the keeper's link 21 KB
-// at 129 ranks and 40 KB at 1,000.
+// subtreeSize returns how many ranks a coordinator reaches through one relay. Up to 64
+// ranks the relays call the others directly. Larger groups have one more level, and each
+// sidecar calls about the cube root of the ranks. The traffic of a box in the tree
+// therefore grows with the cube root of the group: a map of 700 moves, which takes 4 KB,
+// costs the coordinator's link 21 KB at 129 ranks and 40 KB at 1,000.
 func subtreeSize(ranks int) int {
-	if ranks <= minSubtree*minSubtree {
-		return minSubtree
+	if ranks <= minSubtreeSize*minSubtreeSize {
+		return minSubtreeSize
 	}
 	root := math.Cbrt(float64(ranks))
 	return int(math.Ceil(root * root))
 }
 
-// splitBranches divides the sidecars that one sidecar reaches for a keeper. It speaks to
-// the first of each branch, which reaches the others of its branch.
+// splitBranches splits the sidecars that a relay has to reach. It calls the first of each
+// branch, which relays to the rest of the branch.
 func splitBranches(sidecars []string) [][]string {
 	size := 1
-	if len(sidecars) > minSubtree {
+	if len(sidecars) > minSubtreeSize {
 		size = int(math.Ceil(math.Sqrt(float64(len(sidecars)))))
 	}
 	return slices.Collect(slices.Chunk(sidecars, size))
 }
 
-// splitGroup returns the members of a group in the parts in which the keeper reaches
-// them. Those of an availability zone are together, so that what is told to all
-// crosses the border of each zone once. The keeper's own rank is the last of its part:
-// its box has enough to carry without reaching others.
+// splitGroup splits the members of a group into subtrees. Members of an availability zone
+// are adjacent, so that a message to all crosses each zone border once. The coordinator's
+// own rank is the last of its subtree, because its box is loaded enough without relaying.
 func splitGroup(members []*Member, own graniteknot.Rank) [][]*Member {
 	sorted := slices.Clone(members)
 	slices.SortStableFunc(sorted, func(a, b *Member) int { return cmp.Compare(a.zone, b.zone) })
-	parts := slices.Collect(slices.Chunk(sorted, subtreeSize(len(members))))
-	for _, part := range parts {
-		slices.SortStableFunc(part, func(a, b *Member) int { return cmp.Compare(ownLast(a, own), ownLast(b, own)) })
+	subtrees := slices.Collect(slices.Chunk(sorted, subtreeSize(len(members))))
+	for _, subtree := range subtrees {
+		slices.SortStableFunc(subtree, func(a, b *Member) int { return cmp.Compare(ownLast(a, own), ownLast(b, own)) })
 	}
-	return parts
+	return subtrees
 }
 
 func ownLast(m *Member, own graniteknot.Rank) int {
@@ -62,12 +60,12 @@
 	return 0
 }
 
-// allAddressed tells whether the sidecars of all members can reach each other.
+// allAddressed reports whether the sidecars of all members can reach each other.
 func allAddressed(members []*Member) bool {
 	return !slices.ContainsFunc(members, func(m *Member) bool { return m.address == "" })
 }
 
-// relayedSidecars are the addresses of all members but the first.
+// relayedSidecars returns the addresses of all members but the first, which relays to them.
 func relayedSidecars(members []*Member) []string {
 	out := make([]string, 0, len(members)-1)
 	for _, m := range members[1:] {
