--- a/internal/core/ranks/count_sum_test.go
+++ b/internal/core/ranks/count_sum_test.go
@@ -10,16 +10,16 @@
 	"graniteknot.org/go/planner"
 )
 
-// TestSumsOfWhatHasGrown asks sidecars for their counts through one of them: a sum is
-// of what has grown since a question that they remember, one that was lost on the way
-// included, and a sidecar that does not know it is left out.
-func TestSumsOfWhatHasGrown(t *testing.T) {
+// TestSumsCountGrowth reads counts through a relay. A sum must cover the growth since an
+// earlier round, also if the reply to a later one was lost, and leave out sidecars that
+// don't remember that round.
+func TestSumsCountGrowth(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(planner.Shape{Layers: 1, Experts: 4, Ranks: 4, Slots: 2}, 1)
-		defer b.stop()
-		b.group.Like(planner.Loads{{1, 2, 3, 40}})
-		ask := func(fence int64, round, since uint64) *wire.SumReply {
-			reply, err := b.doers[0].Sum(context.Background(), &wire.SumRequest{
+		f := newFixture(planner.Shape{Layers: 1, Experts: 4, Ranks: 4, Slots: 2}, 1)
+		defer f.stop()
+		f.group.Like(planner.Loads{{1, 2, 3, 40}})
+		readSum := func(fence int64, round, since uint64) *wire.SumReply {
+			reply, err := f.executors[0].Sum(context.Background(), &wire.SumRequest{
 				Sidecars: []string{"1", "2", "3"}, Fence: fence, Round: round, Since: since, WaitMs: 100,
 			})
 			if err != nil {
@@ -27,22 +27,22 @@
 			}
 			return reply
 		}
-		passes := func(n int) {
+		runPasses := func(n int) {
 			for range n {
-				b.group.Pass()
+				f.group.Pass()
 			}
 		}
-		if r := ask(1, 1, 0); r.GetSampled() != 4 || r.GetRanks() != 0 {
-			t.Errorf("the first question: %v", r)
+		if r := readSum(1, 1, 0); r.GetSampled() != 4 || r.GetRanks() != 0 {
+			t.Errorf("first round: %v", r)
 		}
-		passes(2)
-		ask(1, 2, 1)
-		passes(1)
-		if r := ask(1, 3, 1); r.GetRanks() != 4 || coarse.Count(r.GetCounts()[1]) != 4*2*3 {
-			t.Errorf("three passes since the first question: %v", r)
+		runPasses(2)
+		readSum(1, 2, 1)
+		runPasses(1)
+		if r := readSum(1, 3, 1); r.GetRanks() != 4 || coarse.Count(r.GetCounts()[1]) != 4*2*3 {
+			t.Errorf("three passes since the first round: %v", r)
 		}
-		if r := ask(2, 1, 3); r.GetRanks() != 0 || r.GetSampled() != 4 {
-			t.Errorf("the first question of another keeper: %v", r)
+		if r := readSum(2, 1, 3); r.GetRanks() != 0 || r.GetSampled() != 4 {
+			t.Errorf("first round of another coordinator: %v", r)
 		}
 	})
 }
--- a/internal/core/ranks/discover_test.go
+++ b/internal/core/ranks/discover_test.go
@@ -13,49 +13,49 @@
 	"graniteknot.org/go/internal/wire"
 )
 
-// known is a rank that tells of a group.
-type known struct {
+// reportingRank is a rank that only reports its group and number.
+type reportingRank struct {
 	held.Rank
 
 	rank graniteknot.Rank
 }
 
 // Report implements held.Rank.
-func (k *known) Report(context.Context) (held.Report, error) {
-	return held.Report{Group: "g", Rank: k.rank, Size: 5, State: held.State{Open: true, Epoch: 1}}, nil
+func (r *reportingRank) Report(context.Context) (held.Report, error) {
+	return held.Report{Group: "g", Rank: r.rank, Size: 5, State: held.State{Open: true, Epoch: 1}}, nil
 }
 
-// TestKeeperHeardByOthers has one sidecar of five that the keeper does not reach look
-// for its group: the others' word shows that the keeper is alive, and that it is not
-// once nobody has heard from it for a while.
-func TestKeeperHeardByOthers(t *testing.T) {
-	const lately = 400 * time.Millisecond
-	var doers []*ranks.Executor
-	var places []ranks.Endpoint
+// TestCoordinatorAliveByMajority discovers a group from one of five sidecars that the
+// coordinator does not reach. The other sidecars must show that the coordinator is alive,
+// and that it is not once none of them has heard from it for a while.
+func TestCoordinatorAliveByMajority(t *testing.T) {
+	const recent = 400 * time.Millisecond
+	var executors []*ranks.Executor
+	var endpoints []ranks.Endpoint
 	for r := range 5 {
-		d := &ranks.Executor{Rank: &known{rank: graniteknot.Rank(r)}}
-		server := httptest.NewServer(wire.NewRanksServer(d))
+		executor := &ranks.Executor{Rank: &reportingRank{rank: graniteknot.Rank(r)}}
+		server := httptest.NewServer(wire.NewRanksServer(executor))
 		defer server.Close()
-		doers = append(doers, d)
-		places = append(places, ranks.Endpoint{Sidecar: graniteknot.Address(strings.TrimPrefix(server.URL, "http://"))})
+		executors = append(executors, executor)
+		endpoints = append(endpoints, ranks.Endpoint{Sidecar: graniteknot.Address(strings.TrimPrefix(server.URL, "http://"))})
 	}
-	find := func() ranks.Discovery {
-		reach := func(graniteknot.Address) held.Rank { return &known{} }
-		return ranks.Discover(context.Background(), "g", 5, -1, lately, places, nil, reach)
+	discover := func() ranks.Discovery {
+		direct := func(graniteknot.Address) held.Rank { return &reportingRank{} }
+		return ranks.Discover(context.Background(), "g", 5, -1, recent, endpoints, nil, direct)
 	}
-	if found := find(); !found.Complete || found.CoordinatorAlive() {
-		t.Errorf("before any keeper: %+v", found)
+	if found := discover(); !found.Complete || found.CoordinatorAlive() {
+		t.Errorf("before any coordinator: %+v", found)
 	}
-	for _, d := range doers[1:4] {
-		if _, err := d.Look(context.Background(), &wire.LookRequest{Fence: 7, OwnRank: 5}); err != nil {
+	for _, executor := range executors[1:4] {
+		if _, err := executor.Look(context.Background(), &wire.LookRequest{Fence: 7, OwnRank: 5}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if found := find(); !found.Complete || !found.CoordinatorAlive() || found.HeardCoordinator != 3 || found.Answered != 5 {
-		t.Errorf("three of five heard from the keeper: %+v", found)
+	if found := discover(); !found.Complete || !found.CoordinatorAlive() || found.HeardCoordinator != 3 || found.Answered != 5 {
+		t.Errorf("three of five sidecars heard from the coordinator: %+v", found)
 	}
-	time.Sleep(lately + 50*time.Millisecond)
-	if found := find(); !found.Complete || found.CoordinatorAlive() {
-		t.Errorf("nobody has heard from the keeper lately: %+v", found)
+	time.Sleep(recent + 50*time.Millisecond)
+	if found := discover(); !found.Complete || found.CoordinatorAlive() {
+		t.Errorf("no sidecar heard from the coordinator recently: %+v", found)
 	}
 }
--- a/internal/core/ranks/fixture_test.go
+++ b/internal/core/ranks/fixture_test.go
@@ -21,51 +21,51 @@
 	expertLoadTime = 100 * time.Millisecond
 )
 
-var small = planner.Shape{Layers: 2, Experts: 12, Ranks: 4, Slots: 5}
+var smallShape = planner.Shape{Layers: 2, Experts: 12, Ranks: 4, Slots: 5}
 
-// bench is a group with its doers.
-type bench struct {
-	group *obeying.Group
-	doers []*ranks.Executor
-	run   group.Group
-	// frozen stands for the sidecar of the rank frozenAt; nil for none.
-	frozen   *frozenDoer
-	frozenAt int
+// fixture is a simulated rank group with an executor for each rank.
+type fixture struct {
+	group     *obeying.Group
+	executors []*ranks.Executor
+	run       group.Group
+	// freezable replaces the sidecar of freezableRank; nil for none.
+	freezable     *freezableExecutor
+	freezableRank int
 }
 
-func newBench(s planner.Shape, seed uint64) *bench {
-	b := &bench{group: obeying.New(s, seed)}
-	b.group.Load = expertLoadTime
-	b.group.Like(uneven(s, seed))
+func newFixture(s planner.Shape, seed uint64) *fixture {
+	f := &fixture{group: obeying.New(s, seed)}
+	f.group.Load = expertLoadTime
+	f.group.Like(zipfLoads(s, seed))
 	for r := range s.Ranks {
-		b.doers = append(b.doers, &ranks.Executor{Rank: b.group.Rank(graniteknot.Rank(r)), PeerClient: b.sidecar})
+		f.executors = append(f.executors, &ranks.Executor{Rank: f.group.Rank(graniteknot.Rank(r)), PeerClient: f.sidecarClient})
 	}
-	b.run.Go(func(ctx context.Context) { b.group.Run(ctx, passTime) })
-	return b
+	f.run.Go(func(ctx context.Context) { f.group.Run(ctx, passTime) })
+	return f
 }
 
-// sidecar is where other sidecars reach that of a rank.
-func sidecar(rank int) graniteknot.Address { return graniteknot.Address(strconv.Itoa(rank)) }
+// sidecarAddress returns the address of a rank's sidecar.
+func sidecarAddress(rank int) graniteknot.Address { return graniteknot.Address(strconv.Itoa(rank)) }
 
-// sidecar returns the calls of the sidecar at an address.
-func (b *bench) sidecar(a graniteknot.Address) wire.Ranks {
+// sidecarClient returns a client for the sidecar at an address.
+func (f *fixture) sidecarClient(a graniteknot.Address) wire.Ranks {
 	rank, err := strconv.Atoi(string(a))
 	if err != nil {
 		return nil
 	}
-	if b.frozen != nil && rank == b.frozenAt {
-		return b.frozen
+	if f.freezable != nil && rank == f.freezableRank {
+		return f.freezable
 	}
-	return b.doers[rank]
+	return f.executors[rank]
 }
 
-func (b *bench) stop() {
-	b.run.Stop()
-	b.group.Wait()
+func (f *fixture) stop() {
+	f.run.Stop()
+	f.group.Wait()
 }
 
-// uneven returns choices of which a few experts get most.
-func uneven(s planner.Shape, seed uint64) planner.Loads {
+// zipfLoads returns Zipf-distributed loads, with the experts in random order.
+func zipfLoads(s planner.Shape, seed uint64) planner.Loads {
 	random := rand.New(rand.NewPCG(seed, 1))
 	loads := planner.NewLoads(s)
 	for l := range loads {
@@ -76,46 +76,47 @@
 	return loads
 }
 
-// keeper returns a keeper at a rank; its ranks are also reached from afar.
-func (b *bench) keeper(fence graniteknot.Position, own graniteknot.Rank) *ranks.Coordinator {
-	return b.keeperAfter(fence, own, own)
+// coordinator returns a coordinator on a rank's box, which can also call ranks directly.
+func (f *fixture) coordinator(fence graniteknot.Position, own graniteknot.Rank) *ranks.Coordinator {
+	return f.coordinatorAfter(fence, own, own)
 }
 
-// keeperAfter returns a keeper that knows the rank of the one before it.
-func (b *bench) keeperAfter(fence graniteknot.Position, own, former graniteknot.Rank) *ranks.Coordinator {
-	s := b.group.Shape
+// coordinatorAfter returns a coordinator that knows the previous one's rank.
+func (f *fixture) coordinatorAfter(fence graniteknot.Position, own, former graniteknot.Rank) *ranks.Coordinator {
+	s := f.group.Shape
 	var members []*ranks.Member
-	for r, d := range b.doers {
-		members = append(members, ranks.NewMember(graniteknot.Rank(r), d, sidecar(r), b.group.Rank(graniteknot.Rank(r))))
+	for r, e := range f.executors {
+		members = append(members, ranks.NewMember(graniteknot.Rank(r), e, sidecarAddress(r), f.group.Rank(graniteknot.Rank(r))))
 	}
 	return ranks.NewCoordinator(ranks.Config{
 		Fence: fence, OwnRank: own, FormerRank: former, Members: members,
-		Engine:  &catalog.Engine{Experts: b.experts()},
+		Engine:  &catalog.Engine{Experts: f.experts()},
 		Planner: &planner.Planner{Shape: s, Threshold: 0.02, Smoothing: 1},
 	})
 }
 
-// experts states how long loading takes, unless that is the usual.
-func (b *bench) experts() *catalog.Experts {
-	s := b.group.Shape
+// experts returns the expert settings, with the load time if that is longer than
+// expertLoadTime.
+func (f *fixture) experts() *catalog.Experts {
+	s := f.group.Shape
 	out := &catalog.Experts{Sets: s.Layers, Experts: s.Experts, Places: s.Slots, Spare: 2}
-	if b.group.Load > expertLoadTime {
+	if f.group.Load > expertLoadTime {
 		const bandwidth = 1e9
-		out.Size, out.Bandwidth = graniteknot.Bytes(bandwidth*b.group.Load.Seconds()), bandwidth
+		out.Size, out.Bandwidth = graniteknot.Bytes(bandwidth*f.group.Load.Seconds()), bandwidth
 	}
 	return out
 }
 
-// keepFor runs a keeper for a while.
-func (b *bench) keepFor(k *ranks.Coordinator, d time.Duration) graniteknot.Position {
+// runFor runs a coordinator for a duration.
+func (f *fixture) runFor(c *ranks.Coordinator, d time.Duration) graniteknot.Position {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	defer cancel()
-	return k.Run(ctx)
+	return c.Run(ctx)
 }
 
-func (b *bench) check(t *testing.T) obeying.Shown {
+func (f *fixture) checkMapsAgree(t *testing.T) obeying.Shown {
 	t.Helper()
-	shown := b.group.Show()
+	shown := f.group.Show()
 	if shown.Apart > 0 {
 		t.Fatalf("%d passes began with different maps", shown.Apart)
 	}
--- a/internal/core/ranks/freezable_executor_test.go
+++ b/internal/core/ranks/freezable_executor_test.go
@@ -11,28 +11,28 @@
 	"graniteknot.org/go/planner"
 )
 
-// frozenDoer is a sidecar that stops answering.
-type frozenDoer struct {
+// freezableExecutor is a sidecar that can be made to stop answering.
+type freezableExecutor struct {
 	*ranks.Executor
 
 	mu     sync.Mutex
 	frozen bool
 }
 
-func (f *frozenDoer) freeze() {
+func (f *freezableExecutor) freeze() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.frozen = true
 }
 
-func (f *frozenDoer) isFrozen() bool {
+func (f *freezableExecutor) isFrozen() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.frozen
 }
 
 // Look implements wire.Ranks.
-func (f *frozenDoer) Look(ctx context.Context, r *wire.LookRequest) (*wire.LookReply, error) {
+func (f *freezableExecutor) Look(ctx context.Context, r *wire.LookRequest) (*wire.LookReply, error) {
 	if f.isFrozen() {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -41,7 +41,7 @@
 }
 
 // Give implements wire.Ranks.
-func (f *frozenDoer) Give(ctx context.Context, r *wire.GiveRequest) (*wire.GiveReply, error) {
+func (f *freezableExecutor) Give(ctx context.Context, r *wire.GiveRequest) (*wire.GiveReply, error) {
 	if f.isFrozen() {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -50,7 +50,7 @@
 }
 
 // LookAll implements wire.Ranks.
-func (f *frozenDoer) LookAll(ctx context.Context, r *wire.LookAllRequest) (*wire.LookAllReply, error) {
+func (f *freezableExecutor) LookAll(ctx context.Context, r *wire.LookAllRequest) (*wire.LookAllReply, error) {
 	if f.isFrozen() {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -59,7 +59,7 @@
 }
 
 // GiveAll implements wire.Ranks.
-func (f *frozenDoer) GiveAll(ctx context.Context, r *wire.GiveAllRequest) (*wire.GiveAllReply, error) {
+func (f *freezableExecutor) GiveAll(ctx context.Context, r *wire.GiveAllRequest) (*wire.GiveAllReply, error) {
 	if f.isFrozen() {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -67,17 +67,17 @@
 	return f.Executor.GiveAll(ctx, r)
 }
 
-// keeperThrough returns a keeper that reaches one rank through another sidecar.
-func (b *bench) keeperThrough(f *frozenDoer, at int) *ranks.Coordinator {
-	s := b.group.Shape
-	b.frozen, b.frozenAt = f, at
+// coordinatorWith returns a coordinator that calls the given executor for one rank.
+func (f *fixture) coordinatorWith(executor *freezableExecutor, rank int) *ranks.Coordinator {
+	s := f.group.Shape
+	f.freezable, f.freezableRank = executor, rank
 	var members []*ranks.Member
-	for r, d := range b.doers {
-		var doer wire.Ranks = d
-		if r == at {
-			doer = f
+	for r, local := range f.executors {
+		var client wire.Ranks = local
+		if r == rank {
+			client = executor
 		}
-		members = append(members, ranks.NewMember(graniteknot.Rank(r), doer, sidecar(r), b.group.Rank(graniteknot.Rank(r))))
+		members = append(members, ranks.NewMember(graniteknot.Rank(r), client, sidecarAddress(r), f.group.Rank(graniteknot.Rank(r))))
 	}
 	return ranks.NewCoordinator(ranks.Config{
 		Fence: 1, Members: members,
--- a/internal/core/ranks/link_traffic_test.go
+++ b/internal/core/ranks/link_traffic_test.go
@@ -14,9 +14,9 @@
 	"graniteknot.org/go/planner"
 )
 
-// leaning returns choices that lean to some experts as much as recorded ones do: the
-// dealt map has a skew of some 3 for 129 ranks.
-func leaning(s planner.Shape, seed uint64) planner.Loads {
+// skewedLoads returns loads as skewed as recorded ones: the initial map has a skew of some
+// 3 for 129 ranks.
+func skewedLoads(s planner.Shape, seed uint64) planner.Loads {
 	const exponent = 0.62
 	random := rand.New(rand.NewPCG(seed, 2))
 	loads := planner.NewLoads(s)
@@ -28,34 +28,34 @@
 	return loads
 }
 
-// narrow is a group whose boxes have narrow links and whose experts load fast.
-type narrow struct {
-	*bench
+// narrowLinkFixture is a group whose boxes have narrow links and whose experts load fast.
+type narrowLinkFixture struct {
+	*fixture
 
-	links *links
+	links *simulatedLinks
 }
 
-func newNarrow(ranksCount int) *narrow {
+func newNarrowLinkFixture(rankCount int) *narrowLinkFixture {
 	const perRank = 2
-	return newNarrowWith(planner.Shape{Layers: 16, Experts: perRank * ranksCount, Ranks: ranksCount, Slots: perRank + 1})
+	return newNarrowLinkFixtureWithShape(planner.Shape{Layers: 16, Experts: perRank * rankCount, Ranks: rankCount, Slots: perRank + 1})
 }
 
-func newNarrowWith(s planner.Shape) *narrow {
-	b := newBench(s, 1)
-	b.group.Load = 7 * time.Millisecond
-	b.group.Like(leaning(s, 1))
-	n := &narrow{bench: b, links: newLinks(s.Ranks)}
-	b.over(n.links)
+func newNarrowLinkFixtureWithShape(s planner.Shape) *narrowLinkFixture {
+	f := newFixture(s, 1)
+	f.group.Load = 7 * time.Millisecond
+	f.group.Like(skewedLoads(s, 1))
+	n := &narrowLinkFixture{fixture: f, links: newSimulatedLinks(s.Ranks)}
+	f.connectOver(n.links)
 	return n
 }
 
-// keeperAt returns a keeper that reaches all ranks over the links.
-func (n *narrow) keeperAt(fence graniteknot.Position, own int) *ranks.Coordinator {
+// coordinatorAt returns a coordinator that calls all ranks over the links.
+func (n *narrowLinkFixture) coordinatorAt(fence graniteknot.Position, own int) *ranks.Coordinator {
 	s := n.group.Shape
 	var members []*ranks.Member
-	for r, d := range n.doers {
+	for r, e := range n.executors {
 		rank := graniteknot.Rank(r)
-		members = append(members, ranks.NewMember(rank, &linked{Ranks: d, links: n.links, from: own, to: r}, sidecar(r), n.group.Rank(rank)))
+		members = append(members, ranks.NewMember(rank, &linkedRanks{Ranks: e, links: n.links, from: own, to: r}, sidecarAddress(r), n.group.Rank(rank)))
 	}
 	const size, bandwidth = 150e6, 22.5e9
 	return ranks.NewCoordinator(ranks.Config{
@@ -67,108 +67,106 @@
 	})
 }
 
-// until returns how long it takes for the skew to fall to a bound, with the most
-// that it may take.
-func (n *narrow) until(skew float64, most time.Duration) time.Duration {
+// timeToSkew returns how long the skew takes to fall to a bound, at most limit.
+func (n *narrowLinkFixture) timeToSkew(skew float64, limit time.Duration) time.Duration {
 	const step = 10 * time.Millisecond
 	began := time.Now()
-	for time.Since(began) < most && n.group.Show().Skew > skew {
+	for time.Since(began) < limit && n.group.Show().Skew > skew {
 		time.Sleep(step)
 	}
 	return time.Since(began)
 }
 
-// TestMapsOnNarrowLinks gives out maps over boxes with links of 6 Mbit/s. The first
-// map is told by how it differs from the one that groups open with, sums of counts
-// keep to their part of the keeper's link, and a map is in force soon after what is
-// chosen has changed.
-func TestMapsOnNarrowLinks(t *testing.T) {
+// TestSwitchesOverNarrowLinks switches maps over links of 6 Mbit/s. It guards against the
+// first map being sent in full instead of as moves, sums of counts taking more than their
+// share of the coordinator's link, and maps that come into force long after a load shift.
+func TestSwitchesOverNarrowLinks(t *testing.T) {
 	if testing.Short() {
 		t.Skip("long under the race detector")
 	}
 	for _, c := range []struct {
 		ranks int
-		most  time.Duration
+		limit time.Duration
 	}{{129, 700 * time.Millisecond}} {
 		synctest.Test(t, func(t *testing.T) {
-			n := newNarrow(c.ranks)
+			n := newNarrowLinkFixture(c.ranks)
 			defer n.stop()
 			before := n.group.Show().Skew
-			n.run.Go(func(ctx context.Context) { n.keeperAt(1, 0).Run(ctx) })
-			if took := n.until(1.6, 5*time.Second); took > 2*time.Second || before < 2 {
-				t.Errorf("%d ranks: the first map took %v, skew %.2f to %.2f", c.ranks, took, before, n.group.Show().Skew)
+			n.run.Go(func(ctx context.Context) { n.coordinatorAt(1, 0).Run(ctx) })
+			if took := n.timeToSkew(1.6, 5*time.Second); took > 2*time.Second || before < 2 {
+				t.Errorf("%d ranks: first map in force after %v, skew from %.2f to %.2f", c.ranks, took, before, n.group.Show().Skew)
 			}
 			const shifts = 4
 			sum := time.Duration(0)
 			for seed := uint64(2); seed < 2+shifts; seed++ {
 				time.Sleep(3 * time.Second)
-				n.group.Like(leaning(n.group.Shape, seed))
+				n.group.Like(skewedLoads(n.group.Shape, seed))
 				shifted := n.group.Show().Skew
-				took := n.until(1.6, 4*time.Second)
+				took := n.timeToSkew(1.6, 4*time.Second)
 				sum += took
-				if took > c.most*5/4 || shifted < 1.8 {
-					t.Errorf("%d ranks: a map %v after a shift, skew %.2f to %.2f", c.ranks, took, shifted, n.group.Show().Skew)
+				if took > c.limit*5/4 || shifted < 1.8 {
+					t.Errorf("%d ranks: map in force %v after a load shift, skew from %.2f to %.2f", c.ranks, took, shifted, n.group.Show().Skew)
 				}
 			}
-			// When in a reading of the counts a shift comes makes a tenth of a second more or
-			// less; the mean is bounded by the aim, one by a quarter more.
-			if mean := sum / shifts; mean > c.most {
-				t.Errorf("%d ranks: a map %v after a shift, at the mean", c.ranks, mean)
+			// The time of a shift within a read interval makes a difference of a tenth of a
+			// second. The mean has to meet the bound, a single switch may take a quarter
+			// more.
+			if mean := sum / shifts; mean > c.limit {
+				t.Errorf("%d ranks: maps in force %v after a load shift on average", c.ranks, mean)
 			}
-			n.check(t)
+			n.checkMapsAgree(t)
 		})
 	}
 }
 
-// TestKeepersLink keeps what any box of a group sends and receives for its maps, over
-// some shifts, to half of its link.
-func TestKeepersLink(t *testing.T) {
+// TestLinkShareOfMapTraffic requires that map traffic takes at most half of any box's link
+// over several load shifts.
+func TestLinkShareOfMapTraffic(t *testing.T) {
 	if testing.Short() {
 		t.Skip("long under the race detector")
 	}
 	synctest.Test(t, func(t *testing.T) {
-		n := newNarrow(129)
+		n := newNarrowLinkFixture(129)
 		defer n.stop()
-		n.run.Go(func(ctx context.Context) { n.keeperAt(1, 0).Run(ctx) })
+		n.run.Go(func(ctx context.Context) { n.coordinatorAt(1, 0).Run(ctx) })
 		n.run.Go(func(ctx context.Context) {
 			for seed := uint64(2); ctx.Err() == nil; seed++ {
 				time.Sleep(2 * time.Second)
-				n.group.Like(leaning(n.group.Shape, seed))
+				n.group.Like(skewedLoads(n.group.Shape, seed))
 			}
 		})
 		for second := range 12 {
-			n.links.forget()
+			n.links.reset()
 			time.Sleep(time.Second)
-			if most := n.links.most(); most > linkRate/2 {
-				t.Errorf("second %d: a box carried %d bytes of %d", second, most, linkRate)
+			if busiest := n.links.busiest(); busiest > linkRate/2 {
+				t.Errorf("second %d: a box carried %d bytes, link rate %d", second, busiest, linkRate)
 			}
 		}
-		n.check(t)
+		n.checkMapsAgree(t)
 	})
 }
 
-// TestWhatASwitchCosts answers one change of what is chosen in groups of several sizes
-// and states what all boxes together, and the busiest one, carry for it in three
-// seconds, looks and counts included. It grows with the group for all, and by its cube
-// root for the busiest.
-func TestWhatASwitchCosts(t *testing.T) {
+// TestSwitchTraffic measures the traffic of all boxes and of the busiest one in the three
+// seconds after a load shift, with looks and counts, for several group sizes. The total
+// grows with the group, the busiest box's share with its cube root.
+func TestSwitchTraffic(t *testing.T) {
 	if testing.Short() {
 		t.Skip("long under the race detector")
 	}
 	const span = 3
-	for _, c := range []struct{ ranks, most int }{{12, 250_000}, {63, 400_000}, {129, 350_000}, {300, 600_000}} {
+	for _, c := range []struct{ ranks, limit int }{{12, 250_000}, {63, 400_000}, {129, 350_000}, {300, 600_000}} {
 		synctest.Test(t, func(t *testing.T) {
-			n := newNarrowWith(planner.Shape{Layers: 2, Experts: 2 * c.ranks, Ranks: c.ranks, Slots: 3})
+			n := newNarrowLinkFixtureWithShape(planner.Shape{Layers: 2, Experts: 2 * c.ranks, Ranks: c.ranks, Slots: 3})
 			defer n.stop()
-			n.run.Go(func(ctx context.Context) { n.keeperAt(1, 0).Run(ctx) })
+			n.run.Go(func(ctx context.Context) { n.coordinatorAt(1, 0).Run(ctx) })
 			time.Sleep(3 * time.Second)
-			n.links.forget()
-			n.group.Like(leaning(n.group.Shape, 2))
+			n.links.reset()
+			n.group.Like(skewedLoads(n.group.Shape, 2))
 			time.Sleep(span * time.Second)
-			calls, bytes := n.links.all()
-			t.Logf("%d ranks: %d messages, %d bytes, %d at the busiest box, skew %.2f", c.ranks, calls, bytes, n.links.most(), n.group.Show().Skew)
-			if most := n.links.most(); most > c.most {
-				t.Errorf("%d ranks: the busiest box carries %d bytes, at most %d", c.ranks, most, c.most)
+			calls, bytes := n.links.totals()
+			t.Logf("%d ranks: %d messages, %d bytes, %d at the busiest box, skew %.2f", c.ranks, calls, bytes, n.links.busiest(), n.group.Show().Skew)
+			if busiest := n.links.busiest(); busiest > c.limit {
+				t.Errorf("%d ranks: the busiest box carried %d bytes, want at most %d", c.ranks, busiest, c.limit)
 			}
 			if skew := n.group.Show().Skew; skew > 1.6 {
 				t.Errorf("%d ranks: skew %.2f", c.ranks, skew)
--- a/internal/core/ranks/load_noise_test.go
+++ b/internal/core/ranks/load_noise_test.go
@@ -11,46 +11,46 @@
 	"graniteknot.org/go/planner"
 )
 
-// TestChanceIsNoShift runs a group whose requests stay the same on the whole, but
-// differ from one short interval to the next, as few requests do, while ranks load for
-// longer than that. The maps that are prepared have to come into force all the same.
-func TestChanceIsNoShift(t *testing.T) {
+// TestNoiseIsNoShift runs a group whose load is stable on the whole but differs between
+// short intervals, as with few requests, while experts take longer than an interval to
+// load. Noise taken for load shifts would replace each map before it comes into force.
+func TestNoiseIsNoShift(t *testing.T) {
 	const (
-		// share is the part of the choices that differ each time.
+		// share is the part of the load that varies.
 		share  = 0.6
 		topics = 6
-		// most is the skew that is left. Where each interval that differs makes the
-		// map that is prepared give way it is 2.04, with 0.7 of share 3.18.
-		most = 1.7
+		// maxSkew bounds the final skew. It is 2.04 if each interval that differs replaces
+		// the map being prepared, and 3.18 with a share of 0.7.
+		maxSkew = 1.7
 	)
 	shape := planner.Shape{Layers: 3, Experts: 96, Ranks: 12, Slots: 11}
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(shape, 1)
-		defer b.stop()
-		b.group.Load = 4 * expertLoadTime
-		var keeping group.Group
+		f := newFixture(shape, 1)
+		defer f.stop()
+		f.group.Load = 4 * expertLoadTime
+		var running group.Group
 		ctx, cancel := context.WithCancel(context.Background())
-		defer keeping.Wait()
+		defer running.Wait()
 		defer cancel()
-		keeper := b.keeper(1, 0)
-		keeping.Go(func(context.Context) { keeper.Run(ctx) })
+		coordinator := f.coordinator(1, 0)
+		running.Go(func(context.Context) { coordinator.Run(ctx) })
 		random := rand.New(rand.NewPCG(1, 2))
-		base := uneven(shape, 7)
-		b.group.Like(uneven(shape, 8))
+		base := zipfLoads(shape, 7)
+		f.group.Like(zipfLoads(shape, 8))
 		time.Sleep(2 * time.Second)
 		for range 70 {
-			b.group.Like(mixed(base, uneven(shape, uint64(50+random.IntN(topics))), share))
+			f.group.Like(mixLoads(base, zipfLoads(shape, uint64(50+random.IntN(topics))), share))
 			time.Sleep(time.Duration(40+random.IntN(90)) * time.Millisecond)
 		}
-		b.group.Like(base)
-		if shown := b.check(t); shown.Skew > most {
-			t.Errorf("skew is %.2f after five seconds", shown.Skew)
+		f.group.Like(base)
+		if shown := f.checkMapsAgree(t); shown.Skew > maxSkew {
+			t.Errorf("skew is %.2f after the noise", shown.Skew)
 		}
 	})
 }
 
-// mixed takes a part of its choices from others.
-func mixed(a, b planner.Loads, part float64) planner.Loads {
+// mixLoads returns a mixture with the given part of b.
+func mixLoads(a, b planner.Loads, part float64) planner.Loads {
 	out := planner.Loads{}
 	for l := range a {
 		layer := planner.LayerLoad{}
--- a/internal/core/ranks/order_retry_test.go
+++ b/internal/core/ranks/order_retry_test.go
@@ -12,8 +12,8 @@
 	"graniteknot.org/go/internal/wire"
 )
 
-// refusing is a rank that can't be reached: each order fails at once.
-type refusing struct {
+// refusingRank is an unreachable rank: each order fails at once.
+type refusingRank struct {
 	*obeying.Rank
 
 	orders int
@@ -22,25 +22,25 @@
 var errRefused = errors.New("connection refused")
 
 // Order implements held.Rank.
-func (r *refusing) Order(context.Context, *held.Command) (held.Result, error) {
+func (r *refusingRank) Order(context.Context, *held.Command) (held.Result, error) {
 	r.orders++
 	return held.ResultLost, errRefused
 }
 
-// TestFailedOrdersPause tries an order that fails at once a few times, and not as
-// often as the processor can.
-func TestFailedOrdersPause(t *testing.T) {
+// TestFailedOrdersBackOff requires that an order that fails at once is retried a few times,
+// not in a busy loop.
+func TestFailedOrdersBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(small, 1)
-		defer b.stop()
-		rank := &refusing{Rank: b.group.Rank(0)}
-		doer := &ranks.Executor{Rank: rank}
-		reply, err := doer.Give(context.Background(), &wire.GiveRequest{Fence: 1, Kind: int32(held.KindGo), Step: 9, Epoch: 1})
+		f := newFixture(smallShape, 1)
+		defer f.stop()
+		rank := &refusingRank{Rank: f.group.Rank(0)}
+		executor := &ranks.Executor{Rank: rank}
+		reply, err := executor.Give(context.Background(), &wire.GiveRequest{Fence: 1, Kind: int32(held.KindGo), Step: 9, Epoch: 1})
 		if err != nil || held.Result(reply.GetResult()) != held.ResultLost {
-			t.Errorf("%v, %v", reply, err)
+			t.Errorf("reply %v, error %v; want a lost order", reply, err)
 		}
 		if rank.orders < 2 || rank.orders > 20 {
-			t.Errorf("tried %d times", rank.orders)
+			t.Errorf("%d attempts, want 2 to 20", rank.orders)
 		}
 	})
 }
--- a/internal/core/ranks/paces_test.go
+++ b/internal/core/ranks/paces_test.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// TestKeeperRelievesASlowRank takes the experts off a rank that tells it is many
-// times slower than the others, but for few that are hardly chosen, and uses it
-// again when it is well.
-func TestKeeperRelievesASlowRank(t *testing.T) {
+// TestCoordinatorUnloadsSlowRank requires that a rank reporting a pace many times slower
+// than the others keeps only a few experts that are hardly chosen, and is used again once
+// it has recovered.
+func TestCoordinatorUnloadsSlowRank(t *testing.T) {
 	const slow = 2
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(small, 4)
-		defer b.stop()
-		k := b.keeper(1, 0)
-		b.keepFor(k, 5*time.Second)
-		b.group.Slow(slow, 12)
-		b.keepFor(k, 5*time.Second)
-		if got := b.check(t).Experts[slow]; got > 2 {
-			t.Errorf("the slow rank holds %d experts", got)
+		f := newFixture(smallShape, 4)
+		defer f.stop()
+		coordinator := f.coordinator(1, 0)
+		f.runFor(coordinator, 5*time.Second)
+		f.group.Slow(slow, 12)
+		f.runFor(coordinator, 5*time.Second)
+		if got := f.checkMapsAgree(t).Experts[slow]; got > 2 {
+			t.Errorf("the slow rank holds %d experts, want at most 2", got)
 		}
-		b.group.Slow(slow, 1)
-		b.keepFor(k, 5*time.Second)
-		shown := b.check(t)
+		f.group.Slow(slow, 1)
+		f.runFor(coordinator, 5*time.Second)
+		shown := f.checkMapsAgree(t)
 		if shown.Experts[slow] == 0 || shown.Skew > 1.15 {
-			t.Errorf("the rank that is well again holds %d experts, skew %.2f", shown.Experts[slow], shown.Skew)
+			t.Errorf("the recovered rank holds %d experts, skew %.2f", shown.Experts[slow], shown.Skew)
 		}
 	})
 }
--- a/internal/core/ranks/recent_maps_test.go
+++ b/internal/core/ranks/recent_maps_test.go
@@ -10,38 +10,38 @@
 	"graniteknot.org/go/internal/wire"
 )
 
-// TestMapIsToldByItsMoves tells a sidecar a whole map and then another one by how
-// it differs: the sidecar knows the first, and its rank gets the second.
-func TestMapIsToldByItsMoves(t *testing.T) {
+// TestPrepareByMoves sends a sidecar a full map and then another as moves. The sidecar must
+// know the first, and its rank must accept the second.
+func TestPrepareByMoves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(small, 1)
-		defer b.stop()
+		f := newFixture(smallShape, 1)
+		defer f.stop()
 		give := func(r *wire.GiveRequest) *wire.GiveReply {
 			r.Fence, r.Kind, r.Epoch = 1, int32(held.KindPrepare), 1
-			reply, err := b.doers[1].Give(context.Background(), r)
+			reply, err := f.executors[1].Give(context.Background(), r)
 			if err != nil {
 				t.Fatal(err)
 			}
 			return reply
 		}
-		// Twelve experts in turn on four ranks, three of five places each, in both
-		// sets.
-		whole := &wire.GiveRequest{Version: 1, Ranks: int32(small.Ranks), Places: int32(small.Slots)}
-		for range small.Layers {
-			for r := range small.Ranks {
-				whole.Placement = append(whole.Placement, int32(r), int32(r+4), int32(r+8), -1, -1)
+		// The full map deals twelve experts in turn to four ranks, in three of five slots
+		// each, in both sets.
+		full := &wire.GiveRequest{Version: 1, Ranks: int32(smallShape.Ranks), Places: int32(smallShape.Slots)}
+		for range smallShape.Layers {
+			for r := range smallShape.Ranks {
+				full.Placement = append(full.Placement, int32(r), int32(r+4), int32(r+8), -1, -1)
 			}
 		}
-		if reply := give(whole); held.Result(reply.GetResult()) != held.ResultDone {
-			t.Fatalf("%v", reply)
+		if reply := give(full); held.Result(reply.GetResult()) != held.ResultDone {
+			t.Fatalf("full map: %v", reply)
 		}
 		time.Sleep(10 * expertLoadTime)
-		// Expert 11 to rank 1's fourth place in the second set: behind the 20 places of
-		// the first set, the five of rank 0 and three of its own.
+		// The move puts expert 11 into rank 1's fourth slot in the second set: it skips the
+		// 20 slots of the first set, the five of rank 0 and three of rank 1.
 		moved := &wire.GiveRequest{Version: 2, Base: 1, Moves: []int32{28, 11}}
 		reply := give(moved)
 		if reply.GetUnknownBase() || held.Result(reply.GetResult()) != held.ResultDone {
-			t.Errorf("%v", reply)
+			t.Errorf("map as moves: %v", reply)
 		}
 	})
 }
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -109,11 +109,11 @@
 	},
 	{
 		Name: "the fencing token leaves out the store era", File: "internal/core/ranks/fence.go", Old: "int64(at.Era())*maxLostClaims + ", New: "",
-		Package: "internal/core/ranks", Test: "TestFencesRiseOverEras", Arguments: []string{"-rapid.nofailfile"},
+		Package: "internal/core/ranks", Test: "TestFencesRiseAcrossEras", Arguments: []string{"-rapid.nofailfile"},
 	},
 	{
 		Name: "the first coordinator of a new store era has a lower fencing token", File: "internal/core/ranks/fence.go", Old: "int64(at.Era())*maxLostClaims + ", New: "",
-		Package: "internal/core/ranks", Test: "TestKeepersAcrossADrill", Says: "gave way", Arguments: []string{"-rapid.nofailfile"},
+		Package: "internal/core/ranks", Test: "TestCoordinatorAfterStoreRestore", Says: "stepped down for", Arguments: []string{"-rapid.nofailfile"},
 	},
 	{
 		Name: "a store that is behind proves settings", File: "catalog/holder.go", Old: "h.tree == nil || h.shown < h.tree.Version", New: "h.tree == nil",
@@ -285,7 +285,7 @@
 		"not there":       {"int64(at.Year())", "0", mutation.ErrUnfit},
 		"not Go":          {"int64(at.Era())", "int64(", mutation.ErrUnfit},
 	} {
-		one.File, one.Package, one.Test, one.Says = "internal/core/ranks/fence.go", "internal/core/ranks", "TestFencesRiseOverEras", ""
+		one.File, one.Package, one.Test, one.Says = "internal/core/ranks/fence.go", "internal/core/ranks", "TestFencesRiseAcrossEras", ""
 		one.Old, one.New = c.old, c.new
 		if err := mutation.Try(t.Context(), root, t.TempDir(), &one); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", name, err)
