--- a/internal/core/ranks/datagram.go
+++ b/internal/core/ranks/datagram.go
@@ -14,17 +14,17 @@
 
 // Datagram kinds of the calls between sidecars.
 const (
-	kindLook presence.Kind = 1
-	kindGive presence.Kind = 2
+	kindLook presence.QueryKind = 1
+	kindGive presence.QueryKind = 2
 	// Calls that the receiver relays to a subtree.
-	kindLookAll presence.Kind = 3
-	kindGiveAll presence.Kind = 4
+	kindLookAll presence.QueryKind = 3
+	kindGiveAll presence.QueryKind = 4
 )
 
 // DatagramClient sends a request to another process in a datagram and returns its reply;
 // presence.Socket implements it.
 type DatagramClient interface {
-	Ask(ctx context.Context, address graniteknot.Address, kind presence.Kind, body []byte) ([]byte, error)
+	Ask(ctx context.Context, address graniteknot.Address, kind presence.QueryKind, body []byte) ([]byte, error)
 }
 
 // datagramRanks sends calls in datagrams. On the small boxes of targets a datagram costs a
@@ -92,7 +92,7 @@
 	return reply, err
 }
 
-func (d *datagramRanks) call(ctx context.Context, kind presence.Kind, request, reply proto.Message) error {
+func (d *datagramRanks) call(ctx context.Context, kind presence.QueryKind, request, reply proto.Message) error {
 	body, err := proto.Marshal(request)
 	if err != nil {
 		return err
@@ -106,7 +106,7 @@
 
 // ServeDatagram handles a call from another sidecar. It is registered with
 // presence.Socket's Respond.
-func (e *Executor) ServeDatagram(ctx context.Context, kind presence.Kind, body []byte) ([]byte, error) {
+func (e *Executor) ServeDatagram(ctx context.Context, kind presence.QueryKind, body []byte) ([]byte, error) {
 	switch kind {
 	case kindLook:
 		return serveCall(ctx, body, &wire.LookRequest{}, e.Look)
