--- a/internal/core/ranks/datagram.go
+++ b/internal/core/ranks/datagram.go
@@ -12,45 +12,47 @@
 	"graniteknot.org/go/internal/wire"
 )
 
-// The questions that sidecars ask each other by datagrams.
+// Datagram kinds of the calls between sidecars.
 const (
-	askLook presence.QueryKind = 1
-	askGive presence.QueryKind = 2
-	// The same of a part of a group.
-	askLookAll presence.QueryKind = 3
-	askGiveAll presence.QueryKind = 4
+	kindLook presence.QueryKind = 1
+	kindGive presence.QueryKind = 2
+	// Calls that the receiver relays to a subtree.
+	kindLookAll presence.QueryKind = 3
+	kindGiveAll presence.QueryKind = 4
 )
 
-// DatagramClient asks another process by a datagram; presence.Socket is one.
+// DatagramClient sends a request to another process in a datagram and returns its reply;
+// presence.Socket implements it.
 type DatagramClient interface {
-	Ask(ctx context.Context, to graniteknot.Address, kind presence.QueryKind, body []byte) ([]byte, error)
+	Ask(ctx context.Context, address graniteknot.Address, kind presence.QueryKind, body []byte) ([]byte, error)
 }
 
-// datagrams makes the calls by datagrams that fit into one: on the small boxes
-// of targets one costs a fraction of a call over HTTP, and a keeper makes
-// hundreds a second. What does not fit goes over HTTP. A datagram that is lost
-// looks like a sidecar that does not answer; the keeper asks again.
-type datagrams struct {
+// datagramRanks sends calls in datagrams. On the small boxes of targets a datagram costs a
+// fraction of an HTTP call, and a coordinator makes hundreds of calls a second. A message
+// that does not fit into a datagram goes over HTTP. A lost datagram looks like an
+// unresponsive sidecar; the coordinator retries.
+type datagramRanks struct {
 	wire.Ranks
-	asker DatagramClient
-	to    graniteknot.Address
+	client  DatagramClient
+	address graniteknot.Address
 }
 
-// byDatagrams returns the calls of the sidecar at an address.
-func byDatagrams(asker DatagramClient, to graniteknot.Address, http wire.Ranks) wire.Ranks {
-	if asker == nil {
+// overDatagrams returns a client for the sidecar at an address, which falls back to http. A
+// nil datagram client uses http only.
+func overDatagrams(client DatagramClient, address graniteknot.Address, http wire.Ranks) wire.Ranks {
+	if client == nil {
 		return http
 	}
-	return &datagrams{Ranks: http, asker: asker, to: to}
+	return &datagramRanks{Ranks: http, client: client, address: address}
 }
 
 // Look implements wire.Ranks.
-func (d *datagrams) Look(ctx context.Context, r *wire.LookRequest) (*wire.LookReply, error) {
+func (d *datagramRanks) Look(ctx context.Context, r *wire.LookRequest) (*wire.LookReply, error) {
 	reply := &wire.LookReply{}
 	if r.GetLists() {
 		return d.Ranks.Look(ctx, r)
 	}
-	err := d.ask(ctx, askLook, r, reply)
+	err := d.call(ctx, kindLook, r, reply)
 	if errors.Is(err, presence.ErrTooLarge) {
 		return d.Ranks.Look(ctx, r)
 	}
@@ -58,9 +60,9 @@
 }
 
 // Give implements wire.Ranks.
-func (d *datagrams) Give(ctx context.Context, r *wire.GiveRequest) (*wire.GiveReply, error) {
+func (d *datagramRanks) Give(ctx context.Context, r *wire.GiveRequest) (*wire.GiveReply, error) {
 	reply := &wire.GiveReply{}
-	err := d.ask(ctx, askGive, r, reply)
+	err := d.call(ctx, kindGive, r, reply)
 	if errors.Is(err, presence.ErrTooLarge) {
 		return d.Ranks.Give(ctx, r)
 	}
@@ -68,12 +70,12 @@
 }
 
 // LookAll implements wire.Ranks.
-func (d *datagrams) LookAll(ctx context.Context, r *wire.LookAllRequest) (*wire.LookAllReply, error) {
+func (d *datagramRanks) LookAll(ctx context.Context, r *wire.LookAllRequest) (*wire.LookAllReply, error) {
 	reply := &wire.LookAllReply{}
 	if r.GetLook().GetLists() {
 		return d.Ranks.LookAll(ctx, r)
 	}
-	err := d.ask(ctx, askLookAll, r, reply)
+	err := d.call(ctx, kindLookAll, r, reply)
 	if errors.Is(err, presence.ErrTooLarge) {
 		return d.Ranks.LookAll(ctx, r)
 	}
@@ -81,45 +83,45 @@
 }
 
 // GiveAll implements wire.Ranks.
-func (d *datagrams) GiveAll(ctx context.Context, r *wire.GiveAllRequest) (*wire.GiveAllReply, error) {
+func (d *datagramRanks) GiveAll(ctx context.Context, r *wire.GiveAllRequest) (*wire.GiveAllReply, error) {
 	reply := &wire.GiveAllReply{}
-	err := d.ask(ctx, askGiveAll, r, reply)
+	err := d.call(ctx, kindGiveAll, r, reply)
 	if errors.Is(err, presence.ErrTooLarge) {
 		return d.Ranks.GiveAll(ctx, r)
 	}
 	return reply, err
 }
 
-func (d *datagrams) ask(ctx context.Context, kind presence.QueryKind, question, reply proto.Message) error {
-	body, err := proto.Marshal(question)
+func (d *datagramRanks) call(ctx context.Context, kind presence.QueryKind, request, reply proto.Message) error {
+	body, err := proto.Marshal(request)
 	if err != nil {
 		return err
 	}
-	answer, err := d.asker.Ask(ctx, d.to, kind, body)
+	response, err := d.client.Ask(ctx, d.address, kind, body)
 	if err != nil {
 		return err
 	}
-	return proto.Unmarshal(answer, reply)
+	return proto.Unmarshal(response, reply)
 }
 
-// ServeDatagram answers the questions of other sidecars; it is for presence.Socket's
-// Respond.
-func (d *Executor) ServeDatagram(ctx context.Context, kind presence.QueryKind, body []byte) ([]byte, error) {
+// ServeDatagram handles a call from another sidecar. It is registered with
+// presence.Socket's Respond.
+func (e *Executor) ServeDatagram(ctx context.Context, kind presence.QueryKind, body []byte) ([]byte, error) {
 	switch kind {
-	case askLook:
-		return respond(ctx, body, &wire.LookRequest{}, d.Look)
-	case askGive:
-		return respond(ctx, body, &wire.GiveRequest{}, d.Give)
-	case askLookAll:
-		return respond(ctx, body, &wire.LookAllRequest{}, d.LookAll)
-	case askGiveAll:
-		return respond(ctx, body, &wire.GiveAllRequest{}, d.GiveAll)
+	case kindLook:
+		return serveCall(ctx, body, &wire.LookRequest{}, e.Look)
+	case kindGive:
+		return serveCall(ctx, body, &wire.GiveRequest{}, e.Give)
+	case kindLookAll:
+		return serveCall(ctx, body, &wire.LookAllRequest{}, e.LookAll)
+	case kindGiveAll:
+		return serveCall(ctx, body, &wire.GiveAllRequest{}, e.GiveAll)
 	}
-	return nil, fmt.Errorf("a question of unknown kind %d", kind)
+	return nil, fmt.Errorf("unknown datagram kind %d", kind)
 }
 
-// respond makes a call whose request and reply are bodies of datagrams.
-func respond[Q, R proto.Message](ctx context.Context, body []byte, request Q, call func(context.Context, Q) (R, error)) ([]byte, error) {
+// serveCall decodes a request from a datagram, makes the call and encodes its reply.
+func serveCall[Q, R proto.Message](ctx context.Context, body []byte, request Q, call func(context.Context, Q) (R, error)) ([]byte, error) {
 	if err := proto.Unmarshal(body, request); err != nil {
 		return nil, err
 	}
--- a/internal/core/ranks/forecast.go
+++ b/internal/core/ranks/forecast.go
@@ -8,50 +8,50 @@
 )
 
 const (
-	// skewWeight is the weight of an interval in the skew that is told, and jump by
-	// how much larger an interval's is to be told at once.
-	skewWeight = 0.4
-	jump       = 1.25
+	// skewSmoothing is the weight of the newest interval in the published skew. A skew more
+	// than skewJumpRatio times the published one replaces it at once.
+	skewSmoothing = 0.4
+	skewJumpRatio = 1.25
 )
 
-// Forecast is what a keeper knows of how much longer than stated its group's passes
-// take. Those who send requests bound them by it.
+// Forecast is a coordinator's estimate of how much longer than configured its group's
+// passes take. Senders of requests use it to limit their rate.
 type Forecast struct {
-	// Skew is the load of the most loaded rank over the mean, summed over the sets,
-	// by the newest counts under the map in force; 0 is unknown.
+	// Skew is the load of the most loaded rank over the mean, summed over the expert sets,
+	// computed from the newest counts and the map in force; 0 is unknown.
 	Skew float64
-	// Loading tells that ranks load experts, which makes passes longer.
+	// Loading reports that ranks are loading experts, which slows passes down.
 	Loading bool
-	// Sequence grows from one forecast of a group to the next; 0 is none.
+	// Sequence increases with each forecast of a group; 0 is none.
 	Sequence uint64
 }
 
-// forecaster makes forecasts. The zero value knows nothing.
+// forecaster computes forecasts. The zero value is ready to use.
 type forecaster struct {
 	skew float64
-	// counted is when the newest counts were taken, mapping the map that they were
-	// looked at under.
-	counted time.Time
-	mapping held.Version
+	// countedAt and mapping are the time of the counts and the version of the map that skew
+	// was last updated from.
+	countedAt time.Time
+	mapping   held.Version
 }
 
-// see takes in counts and the map in force, unless both are known.
-func (f *forecaster) see(w *window, p *planner.Placement, paces []float64, mapping held.Version) {
-	loads, at, ok := w.newest()
-	if !ok || p == nil || at.Equal(f.counted) && mapping == f.mapping {
+// observe updates the skew if the counts or the map in force are new.
+func (f *forecaster) observe(w *countWindow, p *planner.Placement, paces []float64, mapping held.Version) {
+	loads, at, ok := w.newestLoads()
+	if !ok || p == nil || at.Equal(f.countedAt) && mapping == f.mapping {
 		return
 	}
 	switched := mapping != f.mapping
-	f.counted, f.mapping = at, mapping
+	f.countedAt, f.mapping = at, mapping
 	skew := p.TimeSkew(loads, paces)
-	if switched || w.changed || skew > jump*f.skew {
+	if switched || w.shifted || skew > skewJumpRatio*f.skew {
 		f.skew = skew
 	} else {
-		f.skew += skewWeight * (skew - f.skew)
+		f.skew += skewSmoothing * (skew - f.skew)
 	}
 }
 
-// forecast returns what is known now.
+// forecast returns the current estimate.
 func (f *forecaster) forecast(phase held.Phase) Forecast {
 	return Forecast{Skew: f.skew, Loading: phase == held.PhasePreparing}
 }
--- a/internal/core/ranks/member.go
+++ b/internal/core/ranks/member.go
@@ -12,221 +12,222 @@
 )
 
 const (
-	// callTime bounds one call to a sidecar; TCP sends a lost packet again after
-	// 200 ms at the earliest, and twice as long after that.
-	callTime = 700 * time.Millisecond
-	// hedgeTime is when a call that is not answered is made once more beside it.
-	// Sidecars answer much sooner, so by then a packet was lost or the sidecar does
-	// not run.
-	hedgeTime = 90 * time.Millisecond
-	// mostCalls bounds the same calls at a time.
-	mostCalls = 3
-	// directLag is how much older than its reading a rank's report is when it is
-	// read from afar.
-	directLag = 400 * time.Millisecond
-	// sidecarPatience is how long a sidecar may be silent before its rank is
-	// reached from afar, which costs.
-	sidecarPatience = 400 * time.Millisecond
+	// callTimeout bounds one call to a sidecar. TCP retransmits a lost packet after 200 ms
+	// at the earliest and doubles that for each further attempt.
+	callTimeout = 700 * time.Millisecond
+	// hedgeDelay is when an unanswered call is repeated in parallel. Sidecars answer much
+	// sooner, so by then a packet was lost or the sidecar is down.
+	hedgeDelay = 90 * time.Millisecond
+	// maxSameCalls bounds the concurrent calls with the same content.
+	maxSameCalls = 3
+	// directReportLag is the assumed age of a rank's report when it is read directly from
+	// another box.
+	directReportLag = 400 * time.Millisecond
+	// sidecarSilenceLimit is how long a sidecar may be silent before its rank is called
+	// directly, which costs more.
+	sidecarSilenceLimit = 400 * time.Millisecond
 )
 
-// Member is one rank as the keeper reaches it. Its calls go on in the
-// background: a rank that is slow to answer holds up nothing but what needs its
-// answer.
+// Member is the coordinator's connection to one rank. Calls run in the background, so a
+// slow rank delays only what needs its answer.
 type Member struct {
 	rank graniteknot.Rank
-	// clock is the keeper's.
+	// clock is the coordinator's.
 	clock graniteknot.AgeClock
-	// doer is the sidecar's calls.
-	doer wire.Ranks
-	// address is the sidecar's, for others to reach it; empty when it has none.
+	// client calls the sidecar.
+	client wire.Ranks
+	// address is where other sidecars reach this one; empty if they can't.
 	address graniteknot.Address
 	// zone is the sidecar's; empty is unknown.
 	zone graniteknot.AvailabilityZone
-	// part is the number of the part that the member of a large group is in.
-	part int
-	// direct is the rank itself, from afar; nil for none.
+	// subtreeIndex is the member's relay subtree in a large group.
+	subtreeIndex int
+	// direct calls the rank without its sidecar; nil if that is not possible.
 	direct held.Rank
 	calls  group.Group
 
 	mu sync.Mutex
-	// last is the last look that was answered, which began at lookedAt.
-	last     seen
-	lookedAt time.Time
-	// heard is when the sidecar answered last, or was asked first.
-	heard time.Time
-	// under are the calls under way, with when the last of the same was made.
-	under map[call]underWay
-	// answered tells that the rank answered an order of this keeper.
-	answered bool
-	// fenced is the highest fence of another keeper that was heard of.
-	fenced graniteknot.Position
-}
-
-// call tells calls apart: a look, or an order.
-type call struct {
+	// latest is the newest snapshot, from a look that began at latestAt.
+	latest   snapshot
+	latestAt time.Time
+	// heardAt is when the sidecar last answered, or was first called.
+	heardAt time.Time
+	// inFlight counts the calls in flight by content.
+	inFlight map[callKey]inFlightCalls
+	// fenceAccepted reports that the rank answered an order of this coordinator.
+	fenceAccepted bool
+	// foreignFence is the highest fencing token reported for another coordinator.
+	foreignFence graniteknot.Position
+}
+
+// callKey identifies calls with the same content: a look or an order.
+type callKey struct {
 	look  bool
 	order held.Order
 }
 
-// underWay counts the same calls at a time.
-type underWay struct {
-	count int
-	made  time.Time
+// inFlightCalls counts concurrent calls with the same content.
+type inFlightCalls struct {
+	count       int
+	lastStarted time.Time
 }
 
-// begin notes one more; false when enough are under way.
-func (u *underWay) begin(now time.Time) bool {
-	if u.count >= mostCalls || u.count > 0 && now.Sub(u.made) < hedgeTime {
+// begin adds a call; false when there are enough.
+func (f *inFlightCalls) begin(now time.Time) bool {
+	if f.count >= maxSameCalls || f.count > 0 && now.Sub(f.lastStarted) < hedgeDelay {
 		return false
 	}
-	u.count++
-	u.made = now
+	f.count++
+	f.lastStarted = now
 	return true
 }
 
-// seen is one look at a rank.
-type seen struct {
+// snapshot is the state of a rank as of one look.
+type snapshot struct {
 	state  held.State
 	counts []uint64
 	lists  [][]graniteknot.Expert
-	// pace above 1 is a slow rank; 0 is unknown.
+	// pace is the rank's pass time relative to normal; above 1 is slow, 0 is unknown.
 	pace float64
 }
 
-// NewMember returns a rank that is reached through its sidecar's calls and, when
-// the sidecar is silent, from afar; direct may be nil. The address is where other
-// sidecars reach the sidecar; empty for one that they can't.
-func NewMember(r graniteknot.Rank, doer wire.Ranks, address graniteknot.Address, direct held.Rank) *Member {
-	return &Member{rank: r, doer: doer, address: address, direct: direct, under: map[call]underWay{}}
+// NewMember returns a member that is called through its sidecar's client or, when the
+// sidecar is silent, through direct, which may be nil. The address is where other sidecars
+// reach its sidecar; empty if they can't.
+func NewMember(r graniteknot.Rank, client wire.Ranks, address graniteknot.Address, direct held.Rank) *Member {
+	return &Member{rank: r, client: client, address: address, direct: direct, inFlight: map[callKey]inFlightCalls{}}
 }
 
-// begin notes a call that is to be made now; false when enough of the same are
-// under way.
-func (m *Member) begin(c call, now time.Time) bool {
+// beginCall adds a call in flight; false when there are enough with the same content.
+func (m *Member) beginCall(c callKey, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.heard.IsZero() {
-		m.heard = now
+	if m.heardAt.IsZero() {
+		m.heardAt = now
 	}
-	u := m.under[c]
-	if !u.begin(now) {
+	calls := m.inFlight[c]
+	if !calls.begin(now) {
 		return false
 	}
-	m.under[c] = u
+	m.inFlight[c] = calls
 	return true
 }
 
-func (m *Member) end(c call) {
+func (m *Member) endCall(c callKey) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	u := m.under[c]
-	u.count--
-	m.under[c] = u
-	if u.count == 0 {
-		delete(m.under, c)
+	calls := m.inFlight[c]
+	calls.count--
+	m.inFlight[c] = calls
+	if calls.count == 0 {
+		delete(m.inFlight, c)
 	}
 }
 
-// look begins to read the rank, and calls done when that has ended.
+// look starts to read the rank and calls done when that has ended. It does nothing if
+// enough looks are in flight.
 func (m *Member) look(r *wire.LookRequest, now time.Time, done func()) {
-	c := call{look: true}
-	if !m.begin(c, now) {
+	c := callKey{look: true}
+	if !m.beginCall(c, now) {
 		return
 	}
 	m.calls.Go(func(ctx context.Context) {
 		defer done()
-		defer m.end(c)
-		ctx, cancel := context.WithTimeout(ctx, callTime)
+		defer m.endCall(c)
+		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		if m.silent(now) {
+		if m.sidecarSilent(now) {
 			m.lookDirect(ctx, r.GetLists(), now)
 			return
 		}
-		reply, err := m.doer.Look(ctx, r)
+		reply, err := m.client.Look(ctx, r)
 		if err == nil {
-			m.take(reply, now)
+			m.recordReply(reply, now)
 		}
 	})
 }
 
-// silent tells whether the sidecar has not answered for too long.
-func (m *Member) silent(now time.Time) bool {
+// sidecarSilent reports whether the sidecar has not answered for too long and the rank can
+// be called directly.
+func (m *Member) sidecarSilent(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.direct != nil && now.Sub(m.heard) > sidecarPatience
+	return m.direct != nil && now.Sub(m.heardAt) > sidecarSilenceLimit
 }
 
-// lookDirect reads the rank from afar, with what it holds of the map in force if
-// that is not known yet. Counts from afar would cost too much.
+// lookDirect reads the rank without its sidecar, and its expert lists if the map in force
+// is unknown. Reading counts remotely would cost too much.
 func (m *Member) lookDirect(ctx context.Context, lists bool, began time.Time) {
 	m.calls.Go(func(ctx context.Context) { m.ping(ctx) })
 	report, err := m.direct.Report(ctx)
 	if err != nil {
 		return
 	}
-	s := seen{state: report.State, pace: report.Pace}
+	s := snapshot{state: report.State, pace: report.Pace}
 	if lists {
 		if s.lists, err = m.direct.Lists(ctx); err != nil {
 			return
 		}
 	}
-	m.store(s, began.Add(-directLag))
+	m.storeSnapshot(s, began.Add(-directReportLag))
 }
 
-// ping finds out whether a silent sidecar answers again.
+// ping checks whether a silent sidecar answers again.
 func (m *Member) ping(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if _, err := m.doer.Look(ctx, &wire.LookRequest{}); err == nil {
+	if _, err := m.client.Look(ctx, &wire.LookRequest{}); err == nil {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.heard = m.clock.Now()
+		m.heardAt = m.clock.Now()
 	}
 }
 
-func (m *Member) take(reply *wire.LookReply, began time.Time) {
+func (m *Member) recordReply(reply *wire.LookReply, began time.Time) {
 	m.mu.Lock()
-	m.heard = m.clock.Now()
-	m.fenced = max(m.fenced, graniteknot.Position(reply.GetFenced()))
+	m.heardAt = m.clock.Now()
+	m.foreignFence = max(m.foreignFence, graniteknot.Position(reply.GetFenced()))
 	m.mu.Unlock()
 	if reply.GetFenced() == 0 {
-		m.store(seen{state: stateOf(reply.GetState()), counts: reply.GetCounts(), lists: listsOf(reply.GetLists()), pace: reply.GetPace()}, began)
+		m.storeSnapshot(snapshot{state: stateFromWire(reply.GetState()), counts: reply.GetCounts(), lists: listsFromWire(reply.GetLists()), pace: reply.GetPace()}, began)
 	}
 }
 
-// store keeps a look unless a later one was answered before.
-func (m *Member) store(s seen, began time.Time) {
+// storeSnapshot stores a snapshot unless a newer one is known.
+func (m *Member) storeSnapshot(s snapshot, began time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if began.Before(m.lookedAt) {
+	if began.Before(m.latestAt) {
 		return
 	}
 	if s.lists == nil {
-		s.lists = m.last.lists
+		s.lists = m.latest.lists
 	}
 	if s.counts == nil {
-		s.counts = m.last.counts
+		s.counts = m.latest.counts
 	}
-	m.last, m.lookedAt = s, began
+	m.latest, m.latestAt = s, began
 }
 
-// shown returns the last look and when it began; zero before the first.
-func (m *Member) shown() (seen, time.Time) {
+// lastSnapshot returns the newest snapshot and when its look began; a zero time if there is
+// none.
+func (m *Member) lastSnapshot() (snapshot, time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.last, m.lookedAt
+	return m.latest, m.latestAt
 }
 
-// knowsFence tells whether the rank takes no more orders of former keepers.
-func (m *Member) knowsFence() bool {
+// acceptsFence reports whether the rank has accepted this coordinator's fencing token and so
+// refuses orders of former ones.
+func (m *Member) acceptsFence() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.answered
+	return m.fenceAccepted
 }
 
-// otherFence returns the highest fence of another keeper that was heard of.
+// otherFence returns the highest fencing token reported for another coordinator.
 func (m *Member) otherFence() graniteknot.Position {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.fenced
+	return m.foreignFence
 }
--- a/internal/core/ranks/member_order.go
+++ b/internal/core/ranks/member_order.go
@@ -8,36 +8,37 @@
 	"graniteknot.org/go/internal/wire"
 )
 
-// directTry bounds one try of an order to a rank from afar: it takes a way of a
-// few milliseconds, or gets no answer at all.
-const directTry = 80 * time.Millisecond
+// directAttemptTimeout bounds one attempt to give an order to a remote rank, which answers
+// within a few milliseconds or not at all.
+const directAttemptTimeout = 80 * time.Millisecond
 
-// give begins to give an order, and calls done when that has ended.
-func (m *Member) give(c *held.Command, now time.Time, done func()) {
-	key := call{order: c.Order}
-	if !m.begin(key, now) {
+// sendOrder starts to send an order and calls done when that has ended. It does nothing if
+// enough of the same order are in flight.
+func (m *Member) sendOrder(c *held.Command, now time.Time, done func()) {
+	key := callKey{order: c.Order}
+	if !m.beginCall(key, now) {
 		return
 	}
 	m.calls.Go(func(ctx context.Context) {
 		defer done()
-		defer m.end(key)
-		ctx, cancel := context.WithTimeout(ctx, callTime)
+		defer m.endCall(key)
+		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		m.note(m.order(ctx, c, now), c)
+		m.recordResult(m.deliver(ctx, c, now), c)
 	})
 }
 
-// order gives an order, a hold from the keeper's own box: it is then the
-// keeper's box that gave the last order before the group may stand.
-func (m *Member) order(ctx context.Context, c *held.Command, now time.Time) held.Result {
-	if m.silent(now) || c.Kind == held.KindHold && m.direct != nil {
-		return m.orderDirect(ctx, c)
+// deliver gives the rank an order. Hold orders go directly, so that the coordinator's own
+// box gives the last order before the group may stall.
+func (m *Member) deliver(ctx context.Context, c *held.Command, now time.Time) held.Result {
+	if m.sidecarSilent(now) || c.Kind == held.KindHold && m.direct != nil {
+		return m.deliverDirect(ctx, c)
 	}
-	reply, err := m.doer.Give(ctx, requestOf(c))
+	reply, err := m.client.Give(ctx, giveRequest(c))
 	if err == nil && reply.GetUnknownBase() {
-		whole := *c
-		whole.Base = nil
-		reply, err = m.doer.Give(ctx, commandToWire(&whole))
+		full := *c
+		full.Base = nil
+		reply, err = m.client.Give(ctx, commandToWire(&full))
 	}
 	if err != nil {
 		return held.ResultLost
@@ -45,50 +46,50 @@
 	return held.Result(reply.GetResult())
 }
 
-// orderDirect gives an order from afar until it is answered or the time is over.
-// The same order again changes nothing if the first was taken.
-func (m *Member) orderDirect(ctx context.Context, c *held.Command) held.Result {
+// deliverDirect gives an order without the sidecar and repeats it until it is answered or
+// ctx ends. Orders are idempotent.
+func (m *Member) deliverDirect(ctx context.Context, c *held.Command) held.Result {
 	for {
-		result, err := tryOnce(ctx, m.direct, c, directTry)
+		result, err := orderOnce(ctx, m.direct, c, directAttemptTimeout)
 		if err == nil && result != held.ResultLost || ctx.Err() != nil {
 			return result
 		}
 	}
 }
 
-// tryOnce gives an order once. One that gets no answer takes all of the time,
-// also where it fails at once, so that the next try does not follow too soon.
-func tryOnce(ctx context.Context, rank held.Rank, c *held.Command, d time.Duration) (held.Result, error) {
-	short, cancel := context.WithTimeout(ctx, d)
+// orderOnce makes one attempt to give an order. A lost one takes the whole timeout even if
+// it fails at once, which paces the retries.
+func orderOnce(ctx context.Context, rank held.Rank, c *held.Command, timeout time.Duration) (held.Result, error) {
+	attempt, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	result, err := rank.Order(short, c)
+	result, err := rank.Order(attempt, c)
 	if result == held.ResultLost {
-		<-short.Done()
+		<-attempt.Done()
 	}
 	return result, err
 }
 
-// note takes in what became of an order.
-func (m *Member) note(r held.Result, c *held.Command) {
+// recordResult updates the member with the result of an order.
+func (m *Member) recordResult(r held.Result, c *held.Command) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch r {
 	case held.ResultFenced:
-		m.fenced = max(m.fenced, c.Fence+1)
+		m.foreignFence = max(m.foreignFence, c.Fence+1)
 	case held.ResultConflict:
-		m.answered = true
+		m.fenceAccepted = true
 	case held.ResultDone:
-		m.answered = true
-		m.carriedOut(c)
+		m.fenceAccepted = true
+		m.applyDone(c)
 	case held.ResultLost:
 	}
 }
 
-// carriedOut takes in that the rank has done an order: its word is as good as a
-// look, and comes at once. Looks that began before it are not kept.
-func (m *Member) carriedOut(c *held.Command) {
-	s := &m.last.state
-	if s.Epoch != c.Epoch || m.lookedAt.IsZero() {
+// applyDone updates the snapshot with an order that the rank carried out. This is as good
+// as a look and available sooner. Looks that began before it are discarded.
+func (m *Member) applyDone(c *held.Command) {
+	s := &m.latest.state
+	if s.Epoch != c.Epoch || m.latestAt.IsZero() {
 		return
 	}
 	switch c.Kind {
@@ -103,15 +104,14 @@
 	case held.KindPrepare:
 		return
 	}
-	m.lookedAt = m.clock.Now()
+	m.latestAt = m.clock.Now()
 }
 
-// requestOf tells a map by how it differs from the one that it is based on, if
-// there is one.
-func requestOf(c *held.Command) *wire.GiveRequest {
+// giveRequest encodes a command, with the map as moves from its base if there is one.
+func giveRequest(c *held.Command) *wire.GiveRequest {
 	r := commandToWire(c)
 	if c.Base != nil {
-		r.Base, r.Moves = int64(c.BaseVersion), difference(c.Base, c.Placement)
+		r.Base, r.Moves = int64(c.BaseVersion), diffMoves(c.Base, c.Placement)
 		if c.BaseVersion == 0 {
 			s := c.Placement.Shape
 			r.Sets, r.Experts, r.Ranks, r.Places = int32(s.Layers), int32(s.Experts), int32(s.Ranks), int32(s.Slots)
--- /dev/null
+++ b/internal/core/ranks/snapshots.go
@@ -0,0 +1,111 @@
+package ranks
+
+import (
+	"context"
+	"time"
+
+	graniteknot "graniteknot.org/go"
+	"graniteknot.org/go/expertmap/held"
+	"graniteknot.org/go/internal/wire"
+)
+
+// snapshots returns the latest snapshot of every rank; false when one is missing or too
+// old.
+func (c *Coordinator) snapshots() (snapshots []snapshot, complete bool) {
+	snapshots = make([]snapshot, len(c.Members))
+	for i, m := range c.Members {
+		last, at := m.lastSnapshot()
+		if c.Clock.Since(at) > maxLookAge {
+			return nil, false
+		}
+		snapshots[i] = last
+	}
+	return snapshots, true
+}
+
+// lookAll reads all ranks and waits briefly for the answers. In a large group it goes
+// through relays, and calls directly the ranks that these do not reach.
+func (c *Coordinator) lookAll(ctx context.Context, r *wire.LookRequest, now time.Time) {
+	direct := c.Members
+	if c.subtrees != nil {
+		direct = nil
+		for _, m := range c.Members {
+			if m.needsDirectCall(now) {
+				direct = append(direct, m)
+			}
+		}
+	}
+	calls := newPendingCalls(len(c.subtrees) + len(direct))
+	for _, tree := range c.subtrees {
+		tree.look(r, now, calls.done)
+	}
+	for _, m := range direct {
+		m.look(r, now, calls.done)
+	}
+	calls.wait(ctx, replyWait)
+}
+
+// otherFence returns the highest fencing token of another coordinator that any rank
+// reported.
+func (c *Coordinator) otherFence() graniteknot.Position {
+	var highest graniteknot.Position
+	for _, m := range c.Members {
+		highest = max(highest, m.otherFence())
+	}
+	return highest
+}
+
+// holder returns the rank that holds steps: the one after the coordinator's own.
+func (c *Coordinator) holder() graniteknot.Rank {
+	return (c.OwnRank + 1) % graniteknot.Rank(len(c.Members))
+}
+
+// roundWithoutFormer is a round in which some rank can't be read. If that is only the
+// former coordinator's rank, the step that it held may be released.
+func (c *Coordinator) roundWithoutFormer(ctx context.Context, now time.Time) time.Duration {
+	states := make([]held.State, len(c.Members))
+	var orders []held.Order
+	for i, m := range c.Members {
+		last, at := m.lastSnapshot()
+		states[i] = last.state
+		if graniteknot.Rank(i) == c.FormerRank {
+			continue
+		}
+		if at.IsZero() || c.Clock.Since(at) > maxLookAge || !last.state.Open || last.state.Epoch != c.epoch {
+			// The map that the counts and the forecast are for may have been dropped.
+			c.resetCounts()
+		}
+		if c.Clock.Since(at) > maxLookAge {
+			c.enterPhase(held.PhaseClosed)
+			return incompleteInterval
+		}
+		if !m.acceptsFence() {
+			orders = append(orders, held.Order{Kind: held.KindGo, Rank: graniteknot.Rank(i), Step: held.Never, Epoch: last.state.Epoch})
+		}
+	}
+	if c.FormerRank == c.OwnRank {
+		c.enterPhase(held.PhaseClosed)
+		return incompleteInterval
+	}
+	if len(orders) > 0 {
+		c.sendOrders(ctx, orders, now)
+		return fastInterval
+	}
+	decision := held.DecideWithout(states, c.FormerRank, c.desired)
+	c.desired.Freed = max(c.desired.Freed, decision.Freed)
+	c.enterPhase(decision.Phase)
+	c.sendOrders(ctx, decision.Orders, now)
+	return incompleteInterval
+}
+
+// fenceOrders returns an order for each rank that has not yet accepted the coordinator's
+// fencing token.
+func (c *Coordinator) fenceOrders(states []held.State) []held.Order {
+	var out []held.Order
+	for r, m := range c.Members {
+		if !m.acceptsFence() {
+			out = append(out, held.Order{Kind: held.KindGo, Rank: graniteknot.Rank(r), Step: held.Never, Epoch: states[r].Epoch})
+		}
+	}
+	return out
+}
