--- a/internal/core/gateway/gateway.go
+++ b/internal/core/gateway/gateway.go
@@ -158,7 +158,7 @@
 	g.started = g.Clock.Now()
 	g.socket = presence.NewSocket(conn, c.Box, g.Born, g.Log, g.heard)
 	g.census = presence.Census{Socket: g.socket, View: &g.Members, Self: g.self(), From: g.readersPeers, Clock: g.Clock}
-	g.socket.Respond(g.answerPeer)
+	g.socket.HandleQueries(g.answerPeer)
 	if err := g.listen(ctx); err != nil {
 		return err
 	}
--- a/internal/core/gateway/quarantine.go
+++ b/internal/core/gateway/quarantine.go
@@ -20,7 +20,7 @@
 
 const (
 	// askQuarantinePart asks for a part of what is known.
-	askQuarantinePart presence.Kind = 22
+	askQuarantinePart presence.QueryKind = 22
 	// mostTold is how many entries one datagram holds, of at most 45 bytes each.
 	mostTold = 20
 	// quarantineWait is how long one read of the records waits for a change.
--- a/internal/core/gateway/readers.go
+++ b/internal/core/gateway/readers.go
@@ -131,7 +131,7 @@
 // what it knows and did not. In a large deployment, where readers answer but prove
 // nothing, the store is away for them, and most likely for all: then it is called now
 // and then only: calls of all that each call as often as a single one would add up.
-func (g *Gateway) mayCall(kind presence.Kind, answered bool, now time.Time) bool {
+func (g *Gateway) mayCall(kind presence.QueryKind, answered bool, now time.Time) bool {
 	if !g.many(now) {
 		return true
 	}
@@ -149,7 +149,7 @@
 // provers returns the gateways to ask about a topic; nil when the store is to be
 // read. A gateway that the store does not answer asks those that it does answer, and calls the
 // store now and then.
-func (g *Gateway) provers(kind presence.Kind, now time.Time) []presence.Member {
+func (g *Gateway) provers(kind presence.QueryKind, now time.Time) []presence.Member {
 	before := g.readers(now)
 	many := g.many(now)
 	_, up := g.Health.Back()
@@ -166,7 +166,7 @@
 }
 
 // trust is how old an answer on a topic may be to this gateway.
-func (g *Gateway) trust(kind presence.Kind) time.Duration {
+func (g *Gateway) trust(kind presence.QueryKind) time.Duration {
 	now := g.Clock.Now()
 	reads := g.many(now) && g.standsBy(now)
 	switch {
--- a/internal/core/gateway/readers_test.go
+++ b/internal/core/gateway/readers_test.go
@@ -209,7 +209,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	socket.Respond(func(_ context.Context, kind presence.Kind, _ []byte) ([]byte, error) {
+	socket.HandleQueries(func(_ context.Context, kind presence.QueryKind, _ []byte) ([]byte, error) {
 		if kind != 16 {
 			return nil, errNoAnswer
 		}
--- a/internal/core/gateway/refusal_test.go
+++ b/internal/core/gateway/refusal_test.go
@@ -32,7 +32,7 @@
 	a := &ahead{fleet: f, socket: presence.NewSocket(conn, "ahead", 1, nil, func(*presence.Message) {})}
 	began := time.Now()
 	var shelf presence.Shelf
-	a.socket.Respond(func(ctx context.Context, kind presence.Kind, body []byte) ([]byte, error) {
+	a.socket.HandleQueries(func(ctx context.Context, kind presence.QueryKind, body []byte) ([]byte, error) {
 		if after < 0 || time.Since(began) < after {
 			<-ctx.Done()
 			return nil, ctx.Err()
@@ -65,7 +65,7 @@
 }
 
 // settingsPart is the question for a part of the settings.
-const settingsPart presence.Kind = 18
+const settingsPart presence.QueryKind = 18
 
 // standingOf is an answer that tells a version just read.
 func standingOf(version uint64) []byte { return []byte{byte(version), 1, 1} }
--- a/internal/core/gateway/revalidate.go
+++ b/internal/core/gateway/revalidate.go
@@ -39,8 +39,8 @@
 
 // The questions that gateways ask each other.
 const (
-	askSettings presence.Kind = 16
-	askReplicas presence.Kind = 17
+	askSettings presence.QueryKind = 16
+	askReplicas presence.QueryKind = 17
 )
 
 // The state of an answer's topic is unknown before the first read.
@@ -126,7 +126,7 @@
 
 // take takes records from a reader that has others: nearly all gateways would else call
 // the store at each change, each of them for all records.
-func (g *Gateway) take(ctx context.Context, p *proof, kind presence.Kind) ([]graniteknot.KeyedRecord, bool) {
+func (g *Gateway) take(ctx context.Context, p *proof, kind presence.QueryKind) ([]graniteknot.KeyedRecord, bool) {
 	records, err := g.socket.Fetch(ctx, p.from.Peers, kind)
 	if err != nil {
 		g.Log.Warn("records of a reader", slog.String("reader", string(p.from.Box)), slog.String("error", err.Error()))
@@ -138,7 +138,7 @@
 
 // askRead asks readers for the state of a topic until one has read it, as after a start
 // of all gateways at once.
-func (g *Gateway) askRead(ctx context.Context, from []presence.Member, kind presence.Kind, trust time.Duration) (proof, bool) {
+func (g *Gateway) askRead(ctx context.Context, from []presence.Member, kind presence.QueryKind, trust time.Duration) (proof, bool) {
 	for {
 		p, ok := g.askReaders(ctx, from, kind, trust)
 		if !p.unread {
@@ -153,7 +153,7 @@
 
 // askReaders asks a reader or two for the state of a topic, and returns it with
 // the time from which on it is proved; false when none knows it well enough.
-func (g *Gateway) askReaders(ctx context.Context, from []presence.Member, kind presence.Kind, trust time.Duration) (proof, bool) {
+func (g *Gateway) askReaders(ctx context.Context, from []presence.Member, kind presence.QueryKind, trust time.Duration) (proof, bool) {
 	answered := false
 	first := g.validity.first()
 	for i := range min(revalidateTries, len(from)) {
@@ -181,7 +181,7 @@
 }
 
 // askPeer asks a gateway for the state of a topic.
-func (g *Gateway) askPeer(ctx context.Context, to graniteknot.Address, kind presence.Kind) (readers.Standing, error) {
+func (g *Gateway) askPeer(ctx context.Context, to graniteknot.Address, kind presence.QueryKind) (readers.Standing, error) {
 	short, cancel := context.WithTimeout(ctx, revalidateTime)
 	defer cancel()
 	body, err := g.socket.Ask(short, to, kind, nil)
@@ -196,7 +196,7 @@
 
 // answerPeer answers another process's question; a state that is not known yet with
 // nothing.
-func (g *Gateway) answerPeer(_ context.Context, kind presence.Kind, body []byte) ([]byte, error) {
+func (g *Gateway) answerPeer(_ context.Context, kind presence.QueryKind, body []byte) ([]byte, error) {
 	if out, mine, err := g.census.Answer(kind, body); mine {
 		return out, err
 	}
--- a/internal/core/gateway/share.go
+++ b/internal/core/gateway/share.go
@@ -23,8 +23,8 @@
 
 const (
 	// askSettingsPart and askReplicasPart ask for a part of the records.
-	askSettingsPart presence.Kind = 18
-	askReplicasPart presence.Kind = 19
+	askSettingsPart presence.QueryKind = 18
+	askReplicasPart presence.QueryKind = 19
 )
 
 // shared holds the records as the store gave them, for other gateways. The zero
@@ -34,9 +34,9 @@
 	settings []graniteknot.KeyedRecord
 	replicas map[string]graniteknot.KeyedRecord
 	// packed are the packs that were last begun to be sent, by kind.
-	packed map[presence.Kind]packedRecords
+	packed map[presence.QueryKind]packedRecords
 	// editions count the changes of the records, by kind.
-	editions map[presence.Kind]uint64
+	editions map[presence.QueryKind]uint64
 	// settingsShelf and replicasShelf have the packs that others are taking.
 	settingsShelf, replicasShelf presence.Shelf
 }
@@ -73,15 +73,15 @@
 }
 
 // changed counts a change of a kind of records; called with the lock held.
-func (s *shared) changed(kind presence.Kind) {
+func (s *shared) changed(kind presence.QueryKind) {
 	if s.editions == nil {
-		s.editions = map[presence.Kind]uint64{}
+		s.editions = map[presence.QueryKind]uint64{}
 	}
 	s.editions[kind]++
 }
 
 // pack returns the records of a kind.
-func (s *shared) pack(kind presence.Kind) (presence.Packed, error) {
+func (s *shared) pack(kind presence.QueryKind) (presence.Packed, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if known, ok := s.packed[kind]; ok && known.edition == s.editions[kind] {
@@ -96,14 +96,14 @@
 		return nil, err
 	}
 	if s.packed == nil {
-		s.packed = map[presence.Kind]packedRecords{}
+		s.packed = map[presence.QueryKind]packedRecords{}
 	}
 	s.packed[kind] = packedRecords{out, s.editions[kind]}
 	return out, nil
 }
 
 // part answers another gateway's question for a part.
-func (s *shared) part(kind presence.Kind, body []byte) ([]byte, error) {
+func (s *shared) part(kind presence.QueryKind, body []byte) ([]byte, error) {
 	shelf := &s.settingsShelf
 	if kind == askReplicasPart {
 		shelf = &s.replicasShelf
@@ -132,7 +132,7 @@
 
 // elsewhere asks gateways in turn for what they know, and takes the records of the
 // first whose state is wanted.
-func (g *Gateway) elsewhere(ctx context.Context, stateKind, partKind presence.Kind, wanted func(uint64) bool, take func([]graniteknot.KeyedRecord, time.Time, source)) bool {
+func (g *Gateway) elsewhere(ctx context.Context, stateKind, partKind presence.QueryKind, wanted func(uint64) bool, take func([]graniteknot.KeyedRecord, time.Time, source)) bool {
 	peers := g.Members.Living(presence.RoleGateway, g.Config.Box, g.Clock.Now())
 	first := rand.IntN(max(1, len(peers)))
 	for i := range min(revalidateTries, len(peers)) {
--- a/internal/core/presence/census.go
+++ b/internal/core/presence/census.go
@@ -11,8 +11,8 @@
 
 // The questions for who is known: for a digest, and for a part of the records.
 const (
-	askMembers     Kind = 20
-	askMembersPart Kind = 21
+	askMembers     QueryKind = 20
+	askMembersPart QueryKind = 21
 )
 
 const (
@@ -118,7 +118,7 @@
 }
 
 // Answer answers the questions of others; false for those of another kind.
-func (c *Census) Answer(kind Kind, body []byte) ([]byte, bool, error) {
+func (c *Census) Answer(kind QueryKind, body []byte) ([]byte, bool, error) {
 	switch kind {
 	case askMembers:
 		return binary.AppendUvarint(nil, c.View.Digest(c.Self)), true, nil
--- a/internal/core/presence/census_test.go
+++ b/internal/core/presence/census_test.go
@@ -27,7 +27,7 @@
 		Socket: s, View: &p.view,
 		Self: presence.Member{Box: box, Role: role, Zone: "z", Peers: s.Address(), Born: graniteknot.Incarnation(len(box))},
 	}
-	s.Respond(func(_ context.Context, kind presence.Kind, body []byte) ([]byte, error) {
+	s.HandleQueries(func(_ context.Context, kind presence.QueryKind, body []byte) ([]byte, error) {
 		out, mine, err := p.census.Answer(kind, body)
 		if !mine {
 			return nil, errKind
--- a/internal/core/presence/fuzz_test.go
+++ b/internal/core/presence/fuzz_test.go
@@ -54,8 +54,8 @@
 		{Box: "b", Self: &member, Ready: true, Settings: 3, Lost: true},
 		{Box: "s", Load: &load},
 		{Box: "b", Relay: true, Bundle: &bundle},
-		{Box: "b", Question: &presence.Question{Number: 1, Kind: 16, Body: []byte{1}}},
-		{Box: "b", Answer: &presence.Answer{Number: 1, Body: []byte{1}}},
+		{Box: "b", Query: &presence.Query{ID: 1, Kind: 16, Body: []byte{1}}},
+		{Box: "b", Reply: &presence.Reply{ID: 1, Body: []byte{1}}},
 	} {
 		b, err := cbor.Marshal(&m)
 		if err != nil {
@@ -110,7 +110,7 @@
 		asker, holder := sockets(t, &n)
 		defer asker.Close()
 		defer holder.Close()
-		holder.Respond(func(_ context.Context, _ presence.Kind, body []byte) ([]byte, error) {
+		holder.HandleQueries(func(_ context.Context, _ presence.QueryKind, body []byte) ([]byte, error) {
 			if len(body) == 1 {
 				return first, nil
 			}
--- a/internal/core/presence/message.go
+++ b/internal/core/presence/message.go
@@ -33,9 +33,9 @@
 	Quota []byte `cbor:"14,keyasint,omitempty"`
 	// Lost tells that the store does not answer the sender, a gateway.
 	Lost bool `cbor:"15,keyasint,omitempty"`
-	// Question and Answer are set where the datagram is one.
-	Question *Question `cbor:"7,keyasint,omitempty"`
-	Answer   *Answer   `cbor:"8,keyasint,omitempty"`
+	// Query and Answer are set where the datagram is one.
+	Query *Query `cbor:"7,keyasint,omitempty"`
+	Reply *Reply `cbor:"8,keyasint,omitempty"`
 }
 
 // Digest is a replica's load, as its sidecar read it just before sending.
--- a/internal/core/presence/parts_test.go
+++ b/internal/core/presence/parts_test.go
@@ -16,7 +16,7 @@
 	"graniteknot.org/go/internal/standin/network"
 )
 
-const partsKind presence.Kind = 90
+const partsKind presence.QueryKind = 90
 
 // records returns records that hardly pack, of so many bytes in all.
 func records(seed uint64, size int) []graniteknot.KeyedRecord {
@@ -51,7 +51,7 @@
 		defer holder.Close()
 		var edition atomic.Uint64
 		var shelf presence.Shelf
-		holder.Respond(func(_ context.Context, _ presence.Kind, body []byte) ([]byte, error) {
+		holder.HandleQueries(func(_ context.Context, _ presence.QueryKind, body []byte) ([]byte, error) {
 			return shelf.Part(body, func() (presence.Packed, error) {
 				return presence.Pack(records(edition.Add(1), 20_000))
 			})
@@ -87,7 +87,7 @@
 		defer asker.Close()
 		defer holder.Close()
 		var shelf presence.Shelf
-		holder.Respond(func(_ context.Context, _ presence.Kind, body []byte) ([]byte, error) {
+		holder.HandleQueries(func(_ context.Context, _ presence.QueryKind, body []byte) ([]byte, error) {
 			return shelf.Part(body, func() (presence.Packed, error) { return presence.Pack(records(1, size)) })
 		})
 		began := time.Now()
--- a/internal/core/ranks/datagram.go
+++ b/internal/core/ranks/datagram.go
@@ -14,16 +14,16 @@
 
 // The questions that sidecars ask each other by datagrams.
 const (
-	askLook presence.Kind = 1
-	askGive presence.Kind = 2
+	askLook presence.QueryKind = 1
+	askGive presence.QueryKind = 2
 	// The same of a part of a group.
-	askLookAll presence.Kind = 3
-	askGiveAll presence.Kind = 4
+	askLookAll presence.QueryKind = 3
+	askGiveAll presence.QueryKind = 4
 )
 
 // Asker asks another process by a datagram; presence.Socket is one.
 type Asker interface {
-	Ask(ctx context.Context, to graniteknot.Address, kind presence.Kind, body []byte) ([]byte, error)
+	Ask(ctx context.Context, to graniteknot.Address, kind presence.QueryKind, body []byte) ([]byte, error)
 }
 
 // datagrams makes the calls by datagrams that fit into one: on the small boxes
@@ -90,7 +90,7 @@
 	return reply, err
 }
 
-func (d *datagrams) ask(ctx context.Context, kind presence.Kind, question, reply proto.Message) error {
+func (d *datagrams) ask(ctx context.Context, kind presence.QueryKind, question, reply proto.Message) error {
 	body, err := proto.Marshal(question)
 	if err != nil {
 		return err
@@ -104,7 +104,7 @@
 
 // Answer answers the questions of other sidecars; it is for presence.Socket's
 // Respond.
-func (d *Doer) Answer(ctx context.Context, kind presence.Kind, body []byte) ([]byte, error) {
+func (d *Doer) Answer(ctx context.Context, kind presence.QueryKind, body []byte) ([]byte, error) {
 	switch kind {
 	case askLook:
 		return respond(ctx, body, &wire.LookRequest{}, d.Look)
--- a/internal/core/sidecar/sidecar.go
+++ b/internal/core/sidecar/sidecar.go
@@ -99,7 +99,7 @@
 	}
 	s.socket = socket
 	s.doer.Asker = socket
-	socket.Respond(s.doer.Answer)
+	socket.HandleQueries(s.doer.Answer)
 	if err := s.listen(ctx); err != nil {
 		return err
 	}
