--- a/internal/core/gateway/hello.go
+++ b/internal/core/gateway/hello.go
@@ -140,7 +140,7 @@
 
 // relay passes on what was heard of late, if this gateway is a relay.
 func (g *Gateway) relay() {
-	bundles := g.bundler.Bundles(g.Clock.Now())
+	bundles := g.bundler.Flush(g.Clock.Now())
 	if !g.relaying.Load() {
 		return
 	}
@@ -170,7 +170,7 @@
 	}
 	g.noteVersion(versionNotice{catalog.Version(m.Settings), m.Box, true}, now)
 	g.heardOfReaders()
-	g.bundler.Take(m, now)
+	g.bundler.Add(m, now)
 	if m.Self != nil {
 		g.compareQuarantine(m)
 	}
@@ -187,18 +187,18 @@
 	g.heardOfReaders()
 	for i := range m.Bundle.Reports {
 		r := &m.Bundle.Reports[i]
-		d := m.Bundle.Digest(r)
-		l := loadOf(&d, now.Add(-time.Duration(r.Age)*time.Millisecond))
+		d := m.Bundle.LoadReport(r)
+		l := loadOf(&d, now.Add(-time.Duration(r.AgeMillis)*time.Millisecond))
 		l.Relayed = true
 		g.Fleet.Report(d.Target, l)
 	}
 }
 
 // loadOf is what a sidecar told of its replica at a time.
-func loadOf(d *presence.Digest, taken time.Time) fleet.Load {
+func loadOf(d *presence.LoadReport, taken time.Time) fleet.Load {
 	return fleet.Load{
 		Running: d.Running, Waiting: d.Waiting, Pace: float64(d.Pace),
-		Pass: time.Duration(d.Pass) * time.Microsecond, Closed: !d.Open, Taken: taken, Life: d.Life,
-		Forecast: fleet.Forecast{Skew: float64(d.Skew), Loading: d.Loading, Number: d.Forecast},
+		Pass: time.Duration(d.PassMicros) * time.Microsecond, Closed: !d.GroupOpen, Taken: taken, Life: d.LifeMark,
+		Forecast: fleet.Forecast{Skew: float64(d.Skew), Loading: d.Loading, Number: d.ForecastSequence},
 	}
 }
--- a/internal/core/presence/fuzz_test.go
+++ b/internal/core/presence/fuzz_test.go
@@ -48,7 +48,7 @@
 // FuzzDatagram has a process read any datagram, take in what it says and pass it on.
 func FuzzDatagram(f *testing.F) {
 	member := presence.Member{Box: "b", Role: presence.RoleGateway, Zone: "z", Peers: "10.0.0.9:4", Born: 3}
-	load := presence.Digest{Target: "10.0.0.8:80", Running: 2, Open: true, Skew: 1.2, Forecast: 4}
+	load := presence.LoadReport{Target: "10.0.0.8:80", Running: 2, GroupOpen: true, Skew: 1.2, ForecastSequence: 4}
 	bundle := presence.Bundle{Ready: []uint32{1}, Lost: []uint32{1}, Settings: 4, Joined: []presence.Member{member}}
 	for _, m := range []presence.Message{
 		{Box: "b", Self: &member, Ready: true, Settings: 3, Lost: true},
@@ -75,13 +75,13 @@
 			if m.Bundle != nil {
 				view.Told(m, now)
 				for i := range m.Bundle.Reports {
-					m.Bundle.Digest(&m.Bundle.Reports[i])
+					m.Bundle.LoadReport(&m.Bundle.Reports[i])
 				}
 				return
 			}
 			view.Heard(m, now)
-			bundler.Take(m, now)
-			for _, b := range bundler.Bundles(now) {
+			bundler.Add(m, now)
+			for _, b := range bundler.Flush(now) {
 				if out, err := cbor.Marshal(&presence.Message{Bundle: &b}); err != nil || len(out) > largest {
 					t.Errorf("a bundle of %d bytes: %v", len(out), err)
 				}
--- a/internal/core/presence/message.go
+++ b/internal/core/presence/message.go
@@ -18,7 +18,7 @@
 	// Self describes the sender; gateways set it.
 	Self *Member `cbor:"6,keyasint,omitempty"`
 	// Load is set by sidecars.
-	Load *Digest `cbor:"5,keyasint,omitempty"`
+	Load *LoadReport `cbor:"5,keyasint,omitempty"`
 	// Settings is the version of the configuration that a gateway has; 0 for none.
 	Settings uint64 `cbor:"9,keyasint,omitempty"`
 	// Relay gateways pass on what they are told to those of their zone.
@@ -38,24 +38,24 @@
 	Reply *Reply `cbor:"8,keyasint,omitempty"`
 }
 
-// Digest is a replica's load, as its sidecar read it just before sending.
-type Digest struct {
+// LoadReport is a replica's load, as its sidecar read it just before sending.
+type LoadReport struct {
 	// Target is the replica's address.
 	Target  graniteknot.Address `cbor:"1,keyasint"`
 	Running int                 `cbor:"2,keyasint,omitempty"`
 	Waiting int                 `cbor:"3,keyasint,omitempty"`
 	Pace    float32             `cbor:"5,keyasint,omitempty"`
-	// Open tells that the replica's lock-step group runs, or that it has none.
-	Open bool `cbor:"7,keyasint,omitempty"`
-	// Pass is how long a pass of the group takes, in microseconds; 0 is unknown.
-	Pass int64 `cbor:"8,keyasint,omitempty"`
+	// GroupOpen tells that the replica's lock-step group runs, or that it has none.
+	GroupOpen bool `cbor:"7,keyasint,omitempty"`
+	// PassMicros is how long a pass of the group takes, in microseconds; 0 is unknown.
+	PassMicros int64 `cbor:"8,keyasint,omitempty"`
 	// Skew and Loading are the forecast of the group's keeper, as the sidecar heard
 	// it; Forecast is its number, which grows; 0 is none.
-	Skew     float32 `cbor:"9,keyasint,omitempty"`
-	Loading  bool    `cbor:"10,keyasint,omitempty"`
-	Forecast uint64  `cbor:"11,keyasint,omitempty"`
-	// Life is the mark of the replica that is at the address now; 0 is unknown.
-	Life catalog.Mark `cbor:"12,keyasint,omitempty"`
+	Skew             float32 `cbor:"9,keyasint,omitempty"`
+	Loading          bool    `cbor:"10,keyasint,omitempty"`
+	ForecastSequence uint64  `cbor:"11,keyasint,omitempty"`
+	// LifeMark is the mark of the replica that is at the address now; 0 is unknown.
+	LifeMark catalog.Mark `cbor:"12,keyasint,omitempty"`
 }
 
 func encode(m *Message) ([]byte, error) { return cbor.Marshal(m) }
--- a/internal/core/presence/relay_test.go
+++ b/internal/core/presence/relay_test.go
@@ -107,12 +107,12 @@
 		p.view.Told(m, d.now)
 		for i := range m.Bundle.Reports {
 			r := &m.Bundle.Reports[i]
-			p.reported[m.Bundle.Digest(r).Target] = d.now.Add(-time.Duration(r.Age) * time.Millisecond)
+			p.reported[m.Bundle.LoadReport(r).Target] = d.now.Add(-time.Duration(r.AgeMillis) * time.Millisecond)
 		}
 		return
 	}
 	p.view.Heard(m, d.now)
-	p.bundler.Take(m, d.now)
+	p.bundler.Add(m, d.now)
 	if m.Load != nil {
 		p.reported[m.Load.Target] = d.now
 	}
@@ -127,7 +127,7 @@
 		}
 		for _, p := range d.sidecars {
 			if !p.dead {
-				load := &presence.Digest{Target: p.Target, Running: 4, Waiting: 1, Pass: 80_000, Pace: 1, Open: true, Skew: 1.3, Forecast: 7}
+				load := &presence.LoadReport{Target: p.Target, Running: 4, Waiting: 1, PassMicros: 80_000, Pace: 1, GroupOpen: true, Skew: 1.3, ForecastSequence: 7}
 				d.send(p, &presence.Message{Load: load}, p.view.Audience(p.Box, d.now))
 			}
 		}
@@ -138,7 +138,7 @@
 	if p.dead {
 		return
 	}
-	if bundles := p.bundler.Bundles(d.now); p.relaying {
+	if bundles := p.bundler.Flush(d.now); p.relaying {
 		for i := range bundles {
 			d.send(p, &presence.Message{Ready: true, Relay: true, Bundle: &bundles[i]}, p.view.InZone(p.Member))
 		}
--- a/internal/core/sidecar/sidecar.go
+++ b/internal/core/sidecar/sidecar.go
@@ -214,9 +214,9 @@
 // period is the time between two digests that are told to so many.
 func (s *Sidecar) period(told int) time.Duration {
 	if told < len(s.Members.Members(presence.RoleGateway, "")) {
-		return presence.RelayedPeriod
+		return presence.RelayedReportInterval
 	}
-	return presence.DigestPeriod(told)
+	return presence.ReportInterval(told)
 }
 
 func (s *Sidecar) tell(r *held.Report, life catalog.Mark, to []graniteknot.Address) {
@@ -225,9 +225,9 @@
 	pass := s.passTime
 	s.told = f.Skew
 	s.mu.Unlock()
-	s.socket.Send(presence.Message{Load: &presence.Digest{
-		Target: s.Config.Target, Running: r.Running, Waiting: r.Waiting, Pace: float32(r.Pace), Open: r.Group == "" || r.State.Open, Pass: pass.Microseconds(),
-		Skew: float32(f.Skew), Loading: f.Loading, Forecast: f.Number, Life: life,
+	s.socket.Send(presence.Message{Load: &presence.LoadReport{
+		Target: s.Config.Target, Running: r.Running, Waiting: r.Waiting, Pace: float32(r.Pace), GroupOpen: r.Group == "" || r.State.Open, PassMicros: pass.Microseconds(),
+		Skew: float32(f.Skew), Loading: f.Loading, ForecastSequence: f.Number, LifeMark: life,
 	}}, to)
 }
 
