--- a/internal/core/gateway/gateway.go
+++ b/internal/core/gateway/gateway.go
@@ -71,7 +71,7 @@
 
 	socket *presence.Socket
 	// census learns who is known from relays.
-	census presence.Census
+	census presence.MemberSync
 	// met is closed once the members are known, or can't be read; before that unknown is set
 	// where the store has no record of this gateway.
 	met     chan struct{}
@@ -89,7 +89,7 @@
 	// due tells that something of limits is to be sent.
 	due chan struct{}
 	// quarantineShelf has packs of the quarantine that others are taking.
-	quarantineShelf presence.Shelf
+	quarantineShelf presence.PackCache
 	// ward tells and keeps what the quarantine knows.
 	ward ward
 	// bundler collects what this gateway passes on as a relay; relaying tells that it is
@@ -157,7 +157,7 @@
 	}
 	g.started = g.Clock.Now()
 	g.socket = presence.NewSocket(conn, c.Box, g.Born, g.Log, g.heard)
-	g.census = presence.Census{Socket: g.socket, View: &g.Members, Self: g.self(), From: g.readersPeers, Clock: g.Clock}
+	g.census = presence.MemberSync{Socket: g.socket, View: &g.Members, Self: g.self(), Sources: g.readersPeers, Clock: g.Clock}
 	g.socket.HandleQueries(g.answerPeer)
 	if err := g.listen(ctx); err != nil {
 		return err
--- a/internal/core/gateway/hello.go
+++ b/internal/core/gateway/hello.go
@@ -96,7 +96,7 @@
 
 // askCensus learns from others who is known; the readers read the store.
 func (g *Gateway) askCensus(ctx context.Context) bool {
-	return len(g.readers(g.Clock.Now())) > 0 && g.census.Ask(ctx)
+	return len(g.readers(g.Clock.Now())) > 0 && g.census.Sync(ctx)
 }
 
 // greeting is what this gateway tells of itself.
--- a/internal/core/gateway/quarantine.go
+++ b/internal/core/gateway/quarantine.go
@@ -129,7 +129,7 @@
 }
 
 // packQuarantine packs all entries, some in a record.
-func (g *Gateway) packQuarantine() (presence.Packed, error) {
+func (g *Gateway) packQuarantine() (presence.PackedRecords, error) {
 	var records []graniteknot.KeyedRecord
 	entries := g.Quarantine.Entries(g.Clock.Now())
 	for len(entries) > 0 {
@@ -140,7 +140,7 @@
 		}
 		records, entries = append(records, graniteknot.KeyedRecord{Value: value}), entries[n:]
 	}
-	return presence.Pack(records)
+	return presence.PackRecords(records)
 }
 
 // followQuarantine reads the records. In a large deployment the gateways that read for
--- a/internal/core/gateway/refusal_test.go
+++ b/internal/core/gateway/refusal_test.go
@@ -31,16 +31,16 @@
 	}
 	a := &ahead{fleet: f, socket: presence.NewSocket(conn, "ahead", 1, nil, func(*presence.Message) {})}
 	began := time.Now()
-	var shelf presence.Shelf
+	var shelf presence.PackCache
 	a.socket.HandleQueries(func(ctx context.Context, kind presence.QueryKind, body []byte) ([]byte, error) {
 		if after < 0 || time.Since(began) < after {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
 		if kind == settingsPart {
-			return shelf.Part(body, func() (presence.Packed, error) {
+			return shelf.ServePart(body, func() (presence.PackedRecords, error) {
 				value := platformtest.Config(int(version), "h.example", "s", keys)
-				return presence.Pack([]graniteknot.KeyedRecord{{Key: "config", Value: value, At: 100}})
+				return presence.PackRecords([]graniteknot.KeyedRecord{{Key: "config", Value: value, At: 100}})
 			})
 		}
 		return standingOf(version), nil
--- a/internal/core/gateway/revalidate.go
+++ b/internal/core/gateway/revalidate.go
@@ -197,7 +197,7 @@
 // answerPeer answers another process's question; a state that is not known yet with
 // nothing.
 func (g *Gateway) answerPeer(_ context.Context, kind presence.QueryKind, body []byte) ([]byte, error) {
-	if out, mine, err := g.census.Answer(kind, body); mine {
+	if out, mine, err := g.census.HandleQuery(kind, body); mine {
 		return out, err
 	}
 	now := g.Clock.Now()
@@ -205,7 +205,7 @@
 	case askSettingsPart, askReplicasPart:
 		return g.shared.part(kind, body)
 	case askQuarantinePart:
-		return g.quarantineShelf.Part(body, g.packQuarantine)
+		return g.quarantineShelf.ServePart(body, g.packQuarantine)
 	case askSettings:
 		tree, age := g.Trees.Current(now)
 		if tree == nil {
--- a/internal/core/gateway/share.go
+++ b/internal/core/gateway/share.go
@@ -38,12 +38,12 @@
 	// editions count the changes of the records, by kind.
 	editions map[presence.QueryKind]uint64
 	// settingsShelf and replicasShelf have the packs that others are taking.
-	settingsShelf, replicasShelf presence.Shelf
+	settingsShelf, replicasShelf presence.PackCache
 }
 
 // packedRecords are packed records of an edition.
 type packedRecords struct {
-	presence.Packed
+	presence.PackedRecords
 
 	edition uint64
 }
@@ -81,17 +81,17 @@
 }
 
 // pack returns the records of a kind.
-func (s *shared) pack(kind presence.QueryKind) (presence.Packed, error) {
+func (s *shared) pack(kind presence.QueryKind) (presence.PackedRecords, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if known, ok := s.packed[kind]; ok && known.edition == s.editions[kind] {
-		return known.Packed, nil
+		return known.PackedRecords, nil
 	}
 	list := s.settings
 	if kind == askReplicasPart {
 		list = slices.SortedFunc(maps.Values(s.replicas), func(a, b graniteknot.KeyedRecord) int { return cmp.Compare(a.Key, b.Key) })
 	}
-	out, err := presence.Pack(list)
+	out, err := presence.PackRecords(list)
 	if err != nil {
 		return nil, err
 	}
@@ -108,7 +108,7 @@
 	if kind == askReplicasPart {
 		shelf = &s.replicasShelf
 	}
-	return shelf.Part(body, func() (presence.Packed, error) { return s.pack(kind) })
+	return shelf.ServePart(body, func() (presence.PackedRecords, error) { return s.pack(kind) })
 }
 
 // settingsElsewhere takes a newer configuration from a gateway that has one, where
--- a/internal/core/presence/census_test.go
+++ b/internal/core/presence/census_test.go
@@ -16,19 +16,19 @@
 // informed is a process with a socket and a view.
 type informed struct {
 	view   presence.View
-	census presence.Census
+	census presence.MemberSync
 }
 
 func newInformed(t *testing.T, role presence.Role, box graniteknot.BoxName) *informed {
 	t.Helper()
 	s := listen(t)
 	p := &informed{}
-	p.census = presence.Census{
+	p.census = presence.MemberSync{
 		Socket: s, View: &p.view,
 		Self: presence.Member{Box: box, Role: role, Zone: "z", Peers: s.Address(), Born: graniteknot.Incarnation(len(box))},
 	}
 	s.HandleQueries(func(_ context.Context, kind presence.QueryKind, body []byte) ([]byte, error) {
-		out, mine, err := p.census.Answer(kind, body)
+		out, mine, err := p.census.HandleQuery(kind, body)
 		if !mine {
 			return nil, errKind
 		}
@@ -51,7 +51,7 @@
 	renewed := member("other-0", 6)
 	sidecar.view.PutAt(renewed, 301, now)
 	for range 20 {
-		if sidecar.census.Ask(t.Context()) && len(sidecar.view.Members(presence.RoleGateway, "")) > 2 {
+		if sidecar.census.Sync(t.Context()) && len(sidecar.view.Members(presence.RoleGateway, "")) > 2 {
 			break
 		}
 	}
@@ -65,7 +65,7 @@
 		}
 	}
 	alone := newInformed(t, presence.RoleSidecar, "a")
-	if alone.census.Ask(t.Context()) {
+	if alone.census.Sync(t.Context()) {
 		t.Error("nobody was there to answer")
 	}
 }
--- a/internal/core/presence/fuzz_test.go
+++ b/internal/core/presence/fuzz_test.go
@@ -94,12 +94,12 @@
 
 // FuzzParts takes records from a process that answers with any bytes.
 func FuzzParts(f *testing.F) {
-	packed, err := presence.Pack([]graniteknot.KeyedRecord{{Key: "k", Value: []byte("v")}})
+	packed, err := presence.PackRecords([]graniteknot.KeyedRecord{{Key: "k", Value: []byte("v")}})
 	if err != nil {
 		f.Fatal(err)
 	}
-	var shelf presence.Shelf
-	first, err := shelf.Part([]byte{0}, func() (presence.Packed, error) { return packed, nil })
+	var shelf presence.PackCache
+	first, err := shelf.ServePart([]byte{0}, func() (presence.PackedRecords, error) { return packed, nil })
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/core/presence/parts.go
+++ b/internal/core/presence/parts.go
@@ -36,11 +36,11 @@
 // ErrMalformed is an answer that can't be read.
 var ErrMalformed = errors.New("malformed answer")
 
-// Packed is records ready to be taken by others.
-type Packed []byte
+// PackedRecords is records ready to be taken by others.
+type PackedRecords []byte
 
-// Pack packs records.
-func Pack(list []graniteknot.KeyedRecord) (Packed, error) {
+// PackRecords packs records.
+func PackRecords(list []graniteknot.KeyedRecord) (PackedRecords, error) {
 	plain, err := cbor.Marshal(list)
 	if err != nil {
 		return nil, err
@@ -76,7 +76,7 @@
 }
 
 // part answers a question for the part at an offset of a pack with a digest.
-func (p Packed) part(offset, digest uint64) ([]byte, error) {
+func (p PackedRecords) part(offset, digest uint64) ([]byte, error) {
 	if offset > uint64(len(p)) {
 		return nil, ErrMalformed
 	}
--- a/internal/core/presence/parts_test.go
+++ b/internal/core/presence/parts_test.go
@@ -50,10 +50,10 @@
 		defer asker.Close()
 		defer holder.Close()
 		var edition atomic.Uint64
-		var shelf presence.Shelf
+		var shelf presence.PackCache
 		holder.HandleQueries(func(_ context.Context, _ presence.QueryKind, body []byte) ([]byte, error) {
-			return shelf.Part(body, func() (presence.Packed, error) {
-				return presence.Pack(records(edition.Add(1), 20_000))
+			return shelf.ServePart(body, func() (presence.PackedRecords, error) {
+				return presence.PackRecords(records(edition.Add(1), 20_000))
 			})
 		})
 		var askers group.Group
@@ -86,9 +86,9 @@
 		asker, holder := sockets(t, n)
 		defer asker.Close()
 		defer holder.Close()
-		var shelf presence.Shelf
+		var shelf presence.PackCache
 		holder.HandleQueries(func(_ context.Context, _ presence.QueryKind, body []byte) ([]byte, error) {
-			return shelf.Part(body, func() (presence.Packed, error) { return presence.Pack(records(1, size)) })
+			return shelf.ServePart(body, func() (presence.PackedRecords, error) { return presence.PackRecords(records(1, size)) })
 		})
 		began := time.Now()
 		got, err := asker.Fetch(context.Background(), "10.0.0.2:4", partsKind)
--- a/internal/core/presence/registrar.go
+++ b/internal/core/presence/registrar.go
@@ -110,7 +110,7 @@
 	}
 	follower := watch.Follower{
 		Store: r.Store, Topic: graniteknot.TopicMembers, Health: r.Health, Clock: r.Clock, Wait: followWait, Pause: followPause,
-		Newest: newest, Next: r.take, Failed: func(error) { met(false) }, Revalidate: r.Elsewhere, RevalidatePause: CensusPeriod,
+		Newest: newest, Next: r.take, Failed: func(error) { met(false) }, Revalidate: r.Elsewhere, RevalidatePause: MemberSyncInterval,
 		Renewed: func(era graniteknot.Era) { r.renewed = era },
 	}
 	follower.Run(ctx)
--- a/internal/core/sidecar/sidecar.go
+++ b/internal/core/sidecar/sidecar.go
@@ -61,7 +61,7 @@
 	own    held.Rank
 	doer   *ranks.Doer
 	socket *presence.Socket
-	census presence.Census
+	census presence.MemberSync
 	server *http.Server
 	// figures serves the metrics; nil without an address for them.
 	figures *http.Server
@@ -104,9 +104,9 @@
 		return err
 	}
 	self := presence.Member{Box: c.Box, Role: presence.RoleSidecar, Zone: c.Zone, Peers: c.Peers, Target: c.Target, Born: s.Born, Link: c.Link}
-	s.census = presence.Census{Socket: socket, View: &s.Members, Self: self, Clock: s.Clock}
+	s.census = presence.MemberSync{Socket: socket, View: &s.Members, Self: self, Clock: s.Clock}
 	registrar := &presence.Registrar{
-		Store: s.Store, View: &s.Members, Health: &s.Health, Log: s.Log, Self: self, Clock: s.Clock, Elsewhere: s.census.Ask,
+		Store: s.Store, View: &s.Members, Health: &s.Health, Log: s.Log, Self: self, Clock: s.Clock, Elsewhere: s.census.Sync,
 	}
 	s.group.Go(registrar.Register)
 	s.group.Go(registrar.Follow)
