--- a/internal/core/gateway/census_test.go
+++ b/internal/core/gateway/census_test.go
@@ -18,7 +18,7 @@
 // one that reads the store tells the others, the relays included, none of which reads.
 // Sidecars learn from relays; one that they do not know is no rank to a keeper.
 func TestLateSidecarIsKnown(t *testing.T) {
-	const fleet = presence.RelayedFleet + 3
+	const fleet = presence.MaxDirectGateways + 3
 	var ips []string
 	for range fleet {
 		ips = append(ips, loopback())
--- a/internal/core/gateway/gateway.go
+++ b/internal/core/gateway/gateway.go
@@ -183,8 +183,8 @@
 	}
 	g.group.Go(registrar.Register)
 	g.group.Go(registrar.Follow)
-	g.every(presence.Period, g.hello)
-	g.every(presence.BundlePeriod, g.relay)
+	g.every(presence.HeartbeatInterval, g.hello)
+	g.every(presence.BundleInterval, g.relay)
 	g.every(sweepPeriod, g.Pool.Sweep)
 	g.every(lookPeriod, g.look)
 	g.every(silencePeriod, g.watchSilence)
@@ -229,7 +229,7 @@
 	if age < g.keyAge() {
 		return true
 	}
-	return g.bounds.Load().KeysUnproved && uint64(tree.Version) >= g.Members.NewestSettings()
+	return g.bounds.Load().KeysUnproved && uint64(tree.Version) >= g.Members.NewestConfigVersion()
 }
 
 // gateways is how many may send requests, those still to come included.
--- a/internal/core/gateway/hello.go
+++ b/internal/core/gateway/hello.go
@@ -16,17 +16,17 @@
 // and then, so that they know where to tell what it passes on.
 func (g *Gateway) hello() {
 	now := g.Clock.Now()
-	relaying := g.Members.Relaying(g.self(), !g.leaving.Load(), now)
+	relaying := g.Members.UpdateRelaying(g.self(), !g.leaving.Load(), now)
 	if g.relaying.Swap(relaying) != relaying {
 		g.Log.Info("relay", slog.Bool("relaying", relaying))
 	}
-	to := g.Members.Audience(g.Config.Box, now)
-	if relaying && now.Sub(g.relayed) >= presence.RelayPeriod {
+	to := g.Members.DirectGateways(g.Config.Box, now)
+	if relaying && now.Sub(g.relayed) >= presence.RelayAnnounceInterval {
 		g.relayed = now
 		to = g.everybody()
 	}
 	g.socket.Send(g.greeting(), to)
-	g.Fleet.Share(len(g.Members.Alive(presence.RoleGateway, g.Config.Box, now)) + 1)
+	g.Fleet.Share(len(g.Members.ReadyMembers(presence.RoleGateway, g.Config.Box, now)) + 1)
 }
 
 // greet tells a new member that this gateway lives.
@@ -144,7 +144,7 @@
 	if !g.relaying.Load() {
 		return
 	}
-	to := g.Members.InZone(g.self())
+	to := g.Members.ZoneGateways(g.self())
 	for i := range bundles {
 		g.socket.Send(presence.Message{Ready: g.ready(), Relay: true, Settings: g.version(), Lost: g.lost.Load(), Bundle: &bundles[i]}, to)
 	}
@@ -165,7 +165,7 @@
 		g.limitsHeard(m, now)
 		return
 	}
-	if g.Members.Heard(m, now) {
+	if g.Members.ApplyMessage(m, now) {
 		g.greetLimits(m.Self)
 	}
 	g.noteVersion(versionNotice{catalog.Version(m.Settings), m.Box, true}, now)
@@ -181,7 +181,7 @@
 
 // told takes what a relay passes on.
 func (g *Gateway) told(m *presence.Message, now time.Time) {
-	g.Members.Told(m, now)
+	g.Members.ApplyBundle(m, now)
 	g.noteVersion(versionNotice{catalog.Version(m.Settings), m.Box, true}, now)
 	g.noteVersion(versionNotice{catalog.Version(m.Bundle.Settings), m.Box, false}, now)
 	g.heardOfReaders()
--- a/internal/core/gateway/listen.go
+++ b/internal/core/gateway/listen.go
@@ -66,7 +66,7 @@
 	if g.ready() {
 		out = append(out, g.Config.Requests)
 	}
-	out = appendRequests(out, g.Members.Alive(presence.RoleGateway, g.Config.Box, now))
+	out = appendRequests(out, g.Members.ReadyMembers(presence.RoleGateway, g.Config.Box, now))
 	if len(out) == 0 {
 		out = appendRequests(out, g.Members.Members(presence.RoleGateway, g.Config.Box))
 	}
--- a/internal/core/gateway/metrics.go
+++ b/internal/core/gateway/metrics.go
@@ -34,7 +34,7 @@
 		return behind.Seconds()
 	})
 	g.Meter.Gauge("graniteknot_gateways_alive", func() float64 {
-		return float64(len(g.Members.Alive(presence.RoleGateway, g.Config.Box, g.Clock.Now())) + 1)
+		return float64(len(g.Members.ReadyMembers(presence.RoleGateway, g.Config.Box, g.Clock.Now())) + 1)
 	})
 	g.Meter.Gauge("graniteknot_replicas_known", func() float64 { return float64(len(g.Fleet.IDs())) })
 	g.Meter.Gauge("graniteknot_replica_connections_opened", func() float64 { return float64(g.Pool.Opened()) })
--- a/internal/core/gateway/newer.go
+++ b/internal/core/gateway/newer.go
@@ -173,7 +173,7 @@
 		return true
 	}
 	if box, ok := g.newer.from(catalog.Version(own)); ok {
-		if peers, known := g.Members.Peers(box); known && g.takeFrom(ctx, presence.Member{Box: box, Peers: peers}, own) {
+		if peers, known := g.Members.PeerAddress(box); known && g.takeFrom(ctx, presence.Member{Box: box, Peers: peers}, own) {
 			return true
 		}
 	}
@@ -216,7 +216,7 @@
 		return
 	}
 	if from == g.ownRead() {
-		g.socket.Send(g.greeting(), g.Members.Audience(g.Config.Box, now))
+		g.socket.Send(g.greeting(), g.Members.DirectGateways(g.Config.Box, now))
 	}
 	wake(g.relayWake)
 }
--- a/internal/core/gateway/quarantine.go
+++ b/internal/core/gateway/quarantine.go
@@ -43,9 +43,9 @@
 func (g *Gateway) quarantineChanged(e quarantine.Entry) {
 	g.logQuarantined(&e)
 	g.ward.expect(&e, g.Clock.Now())
-	g.tellQuarantine([]quarantine.Entry{e}, g.Members.Audience(g.Config.Box, g.Clock.Now()))
+	g.tellQuarantine([]quarantine.Entry{e}, g.Members.DirectGateways(g.Config.Box, g.Clock.Now()))
 	if g.relaying.Load() {
-		g.tellQuarantine([]quarantine.Entry{e}, g.Members.InZone(g.self()))
+		g.tellQuarantine([]quarantine.Entry{e}, g.Members.ZoneGateways(g.self()))
 	}
 }
 
@@ -80,7 +80,7 @@
 	}
 	fresh := g.mergeQuarantine(entries, now)
 	if len(fresh) > 0 && g.relaying.Load() {
-		g.tellQuarantine(fresh, g.Members.InZone(g.self()))
+		g.tellQuarantine(fresh, g.Members.ZoneGateways(g.self()))
 	}
 }
 
@@ -122,7 +122,7 @@
 			}
 			fresh := g.mergeQuarantine(entries, now)
 			if len(fresh) > 0 && g.relaying.Load() {
-				g.tellQuarantine(fresh, g.Members.InZone(g.self()))
+				g.tellQuarantine(fresh, g.Members.ZoneGateways(g.self()))
 			}
 		}
 	})
--- a/internal/core/gateway/readers.go
+++ b/internal/core/gateway/readers.go
@@ -50,7 +50,7 @@
 // a small deployment.
 func (g *Gateway) allReaders(now time.Time) []presence.Member {
 	most := g.Config.Readers
-	all := append(g.Members.Living(presence.RoleGateway, g.Config.Box, now), g.self())
+	all := append(g.Members.AliveMembers(presence.RoleGateway, g.Config.Box, now), g.self())
 	if most == 0 || len(all) <= 2*most {
 		return nil
 	}
@@ -58,7 +58,7 @@
 		if box == g.Config.Box {
 			return g.Health.Lost(now)
 		}
-		return g.Members.Lost(box)
+		return g.Members.StoreLost(box)
 	})[:most]
 }
 
@@ -75,13 +75,13 @@
 		return
 	}
 	g.Log.Info("reads", slog.Bool("able", !lost))
-	g.socket.Send(g.greeting(), g.Members.Audience(g.Config.Box, g.Clock.Now()))
+	g.socket.Send(g.greeting(), g.Members.DirectGateways(g.Config.Box, g.Clock.Now()))
 }
 
 // heardOfReaders looks who reads once others are heard to have lost the store, or to have it
 // again.
 func (g *Gateway) heardOfReaders() {
-	changes := g.Members.LostChanges()
+	changes := g.Members.StoreLostChanges()
 	if g.lostChanges.Swap(changes) == changes {
 		return
 	}
@@ -116,7 +116,7 @@
 // many tells whether this is a large deployment, in which readers read for all.
 func (g *Gateway) many(now time.Time) bool {
 	most := g.Config.Readers
-	return most > 0 && len(g.Members.Living(presence.RoleGateway, g.Config.Box, now))+1 > 2*most
+	return most > 0 && len(g.Members.AliveMembers(presence.RoleGateway, g.Config.Box, now))+1 > 2*most
 }
 
 // readsFirst tells whether this gateway is among the first that read for all.
@@ -162,7 +162,7 @@
 	case many:
 		return g.otherReaders(now)
 	}
-	return g.Members.Living(presence.RoleGateway, g.Config.Box, now)
+	return g.Members.AliveMembers(presence.RoleGateway, g.Config.Box, now)
 }
 
 // trust is how old an answer on a topic may be to this gateway.
--- a/internal/core/gateway/readers_test.go
+++ b/internal/core/gateway/readers_test.go
@@ -268,7 +268,7 @@
 	}
 	for _, b := range boxes {
 		eventually(t, "all readers are known", func() bool {
-			return len(b.Members.Living(presence.RoleGateway, b.Config.Box, time.Now())) == fleet+readers-1
+			return len(b.Members.AliveMembers(presence.RoleGateway, b.Config.Box, time.Now())) == fleet+readers-1
 		})
 	}
 	before := map[*box]int{}
--- a/internal/core/gateway/refusal_test.go
+++ b/internal/core/gateway/refusal_test.go
@@ -53,7 +53,7 @@
 				to = append(to, b.config.Peers)
 			}
 			a.socket.Send(presence.Message{Ready: true, Self: &self, Settings: version}, to)
-			delay.For(ctx, presence.Period)
+			delay.For(ctx, presence.HeartbeatInterval)
 		}
 	})
 	return a
--- a/internal/core/gateway/share.go
+++ b/internal/core/gateway/share.go
@@ -133,7 +133,7 @@
 // elsewhere asks gateways in turn for what they know, and takes the records of the
 // first whose state is wanted.
 func (g *Gateway) elsewhere(ctx context.Context, stateKind, partKind presence.QueryKind, wanted func(uint64) bool, take func([]graniteknot.KeyedRecord, time.Time, source)) bool {
-	peers := g.Members.Living(presence.RoleGateway, g.Config.Box, g.Clock.Now())
+	peers := g.Members.AliveMembers(presence.RoleGateway, g.Config.Box, g.Clock.Now())
 	first := rand.IntN(max(1, len(peers)))
 	for i := range min(revalidateTries, len(peers)) {
 		peer := peers[(first+i)%len(peers)]
--- a/internal/core/gateway/young.go
+++ b/internal/core/gateway/young.go
@@ -52,7 +52,7 @@
 	g.firstAsked = true
 	ctx, cancel := context.WithTimeout(g.group.Context(), firstAskTime)
 	defer cancel()
-	peers := g.Members.Living(presence.RoleGateway, g.Config.Box, g.Clock.Now())
+	peers := g.Members.AliveMembers(presence.RoleGateway, g.Config.Box, g.Clock.Now())
 	for _, i := range rand.Perm(len(peers))[:min(revalidateTries, len(peers))] {
 		asked := g.Clock.Now()
 		told, err := g.askPeer(ctx, peers[i].Peers, askSettings)
--- a/internal/core/presence/census.go
+++ b/internal/core/presence/census.go
@@ -69,7 +69,7 @@
 	if c.Sources != nil {
 		return c.Sources(now)
 	}
-	return c.View.Audience(c.Self.Box, now)
+	return c.View.DirectGateways(c.Self.Box, now)
 }
 
 func (c *MemberSync) next() int {
@@ -102,7 +102,7 @@
 		if err != nil || m.Box == c.Self.Box {
 			continue
 		}
-		c.View.PutAt(m, r.At, c.Clock.Now())
+		c.View.PutRecord(m, r.At, c.Clock.Now())
 	}
 	return true
 }
--- a/internal/core/presence/census_test.go
+++ b/internal/core/presence/census_test.go
@@ -45,11 +45,11 @@
 	const others = 200
 	for i := range others {
 		m := member(graniteknot.BoxName("other-"+strconv.Itoa(i)), 5)
-		gateway.view.PutAt(m, graniteknot.Position(i), now)
+		gateway.view.PutRecord(m, graniteknot.Position(i), now)
 	}
-	sidecar.view.PutAt(gateway.census.Self, 300, now)
+	sidecar.view.PutRecord(gateway.census.Self, 300, now)
 	renewed := member("other-0", 6)
-	sidecar.view.PutAt(renewed, 301, now)
+	sidecar.view.PutRecord(renewed, 301, now)
 	for range 20 {
 		if sidecar.census.Sync(t.Context()) && len(sidecar.view.Members(presence.RoleGateway, "")) > 2 {
 			break
--- a/internal/core/presence/fuzz_test.go
+++ b/internal/core/presence/fuzz_test.go
@@ -73,13 +73,13 @@
 		var bundler presence.Bundler
 		deliver(t, body, func(m *presence.Message) {
 			if m.Bundle != nil {
-				view.Told(m, now)
+				view.ApplyBundle(m, now)
 				for i := range m.Bundle.Reports {
 					m.Bundle.LoadReport(&m.Bundle.Reports[i])
 				}
 				return
 			}
-			view.Heard(m, now)
+			view.ApplyMessage(m, now)
 			bundler.Add(m, now)
 			for _, b := range bundler.Flush(now) {
 				if out, err := cbor.Marshal(&presence.Message{Bundle: &b}); err != nil || len(out) > largest {
@@ -87,7 +87,7 @@
 				}
 			}
 		})
-		view.Audience("own", now)
+		view.DirectGateways("own", now)
 		view.Digest(member)
 	})
 }
--- a/internal/core/presence/registrar.go
+++ b/internal/core/presence/registrar.go
@@ -75,7 +75,7 @@
 	for ctx.Err() == nil && !r.known.Load() {
 		at, err := r.Store.Append(ctx, graniteknot.TopicMembers, graniteknot.KeyedRecord{Key: string(r.Self.Box), Value: value})
 		if err == nil {
-			r.View.Registered(at)
+			r.View.SetOwnPosition(at)
 			r.Log.Info("registered", slog.Int64("position", at.Offset()), slog.Uint64("born", uint64(r.Self.Born)))
 			return
 		}
@@ -118,7 +118,7 @@
 
 // own notes the own record, of this life or a former one.
 func (r *Registrar) own(m Member, at graniteknot.Position) {
-	r.View.Registered(at)
+	r.View.SetOwnPosition(at)
 	m.Born = r.Self.Born
 	if m == r.Self {
 		r.known.Store(true)
@@ -140,7 +140,7 @@
 			r.own(m, record.At)
 			continue
 		}
-		if !r.View.PutAt(m, record.At, r.Clock.Now()) {
+		if !r.View.PutRecord(m, record.At, r.Clock.Now()) {
 			continue
 		}
 		r.Log.Info("member", slog.String("member", string(m.Box)), slog.String("member_role", string(m.Role)),
--- a/internal/core/presence/relay_test.go
+++ b/internal/core/presence/relay_test.go
@@ -104,14 +104,14 @@
 
 func (d *deployment) take(p *process, m *presence.Message) {
 	if m.Bundle != nil {
-		p.view.Told(m, d.now)
+		p.view.ApplyBundle(m, d.now)
 		for i := range m.Bundle.Reports {
 			r := &m.Bundle.Reports[i]
 			p.reported[m.Bundle.LoadReport(r).Target] = d.now.Add(-time.Duration(r.AgeMillis) * time.Millisecond)
 		}
 		return
 	}
-	p.view.Heard(m, d.now)
+	p.view.ApplyMessage(m, d.now)
 	p.bundler.Add(m, d.now)
 	if m.Load != nil {
 		p.reported[m.Load.Target] = d.now
@@ -128,7 +128,7 @@
 		for _, p := range d.sidecars {
 			if !p.dead {
 				load := &presence.LoadReport{Target: p.Target, Running: 4, Waiting: 1, PassMicros: 80_000, Pace: 1, GroupOpen: true, Skew: 1.3, ForecastSequence: 7}
-				d.send(p, &presence.Message{Load: load}, p.view.Audience(p.Box, d.now))
+				d.send(p, &presence.Message{Load: load}, p.view.DirectGateways(p.Box, d.now))
 			}
 		}
 	}
@@ -140,12 +140,12 @@
 	}
 	if bundles := p.bundler.Flush(d.now); p.relaying {
 		for i := range bundles {
-			d.send(p, &presence.Message{Ready: true, Relay: true, Bundle: &bundles[i]}, p.view.InZone(p.Member))
+			d.send(p, &presence.Message{Ready: true, Relay: true, Bundle: &bundles[i]}, p.view.ZoneGateways(p.Member))
 		}
 	}
-	p.relaying = p.view.Relaying(p.Member, true, d.now)
-	to := p.view.Audience(p.Box, d.now)
-	if p.relaying && d.now.Sub(p.relayed) >= presence.RelayPeriod {
+	p.relaying = p.view.UpdateRelaying(p.Member, true, d.now)
+	to := p.view.DirectGateways(p.Box, d.now)
+	if p.relaying && d.now.Sub(p.relayed) >= presence.RelayAnnounceInterval {
 		p.relayed, to = d.now, nil
 		for a := range d.all {
 			if a != p.Peers {
@@ -165,7 +165,7 @@
 		if p.dead {
 			continue
 		}
-		if n := len(p.view.Alive(presence.RoleGateway, p.Box, d.now)); n != alive {
+		if n := len(p.view.ReadyMembers(presence.RoleGateway, p.Box, d.now)); n != alive {
 			d.t.Errorf("%s: %s knows of %d that live, of %d", what, p.Box, n, alive)
 		}
 		fresh := 0
@@ -242,7 +242,7 @@
 	for range 8 {
 		d.run(500 * time.Millisecond)
 		for _, p := range d.gateways {
-			if n := len(p.view.Alive(presence.RoleGateway, p.Box, d.now)); !p.dead && n < 36 {
+			if n := len(p.view.ReadyMembers(presence.RoleGateway, p.Box, d.now)); !p.dead && n < 36 {
 				t.Errorf("%s knows of %d that live", p.Box, n)
 			}
 		}
--- a/internal/core/presence/restore_test.go
+++ b/internal/core/presence/restore_test.go
@@ -40,10 +40,10 @@
 // hellos keeps all that a view knows alive.
 func (r *registry) hellos(ctx context.Context, v *presence.View) {
 	for ctx.Err() == nil {
-		time.Sleep(presence.Period)
+		time.Sleep(presence.HeartbeatInterval)
 		for _, role := range []presence.Role{presence.RoleGateway, presence.RoleSidecar} {
 			for _, m := range v.Members(role, "") {
-				v.Heard(&presence.Message{Box: m.Box, Ready: true}, time.Now())
+				v.ApplyMessage(&presence.Message{Box: m.Box, Ready: true}, time.Now())
 			}
 		}
 	}
--- a/internal/core/sidecar/sidecar.go
+++ b/internal/core/sidecar/sidecar.go
@@ -151,7 +151,7 @@
 }
 
 // heard takes a gateway's datagram, which makes it known.
-func (s *Sidecar) heard(m *presence.Message) { s.Members.Heard(m, s.Clock.Now()) }
+func (s *Sidecar) heard(m *presence.Message) { s.Members.ApplyMessage(m, s.Clock.Now()) }
 
 // digests tells the gateways how busy the target is: as often as their number
 // allows, and at once what can't wait.
@@ -209,7 +209,9 @@
 }
 
 // gateways returns where the gateways are told.
-func (s *Sidecar) gateways() []graniteknot.Address { return s.Members.Audience("", s.Clock.Now()) }
+func (s *Sidecar) gateways() []graniteknot.Address {
+	return s.Members.DirectGateways("", s.Clock.Now())
+}
 
 // period is the time between two digests that are told to so many.
 func (s *Sidecar) period(told int) time.Duration {
