--- a/internal/core/gateway/census_test.go
+++ b/internal/core/gateway/census_test.go
@@ -56,7 +56,7 @@
 		}
 		return n == fleet-1
 	})
-	late := presence.Member{Box: "side-1", Role: presence.RoleSidecar, Zone: "z", Peers: "127.0.0.1:9", Target: "127.0.0.1:10", Born: 7}
+	late := presence.Member{Box: "side-1", Role: presence.RoleSidecar, Zone: "z", PeerAddress: "127.0.0.1:9", Target: "127.0.0.1:10", Incarnation: 7}
 	value, err := json.Marshal(late)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/core/gateway/gateway.go
+++ b/internal/core/gateway/gateway.go
@@ -179,7 +179,7 @@
 	g.group.Go(g.relayEarly)
 	registrar := &presence.Registrar{
 		Store: g.Store, Self: g.self(), View: &g.Members, Health: &g.Health, Log: g.Log, Clock: g.Clock,
-		Joined: g.greet, Elsewhere: g.askCensus, Met: g.membersMet,
+		OnJoin: g.greet, SyncFromPeer: g.askCensus, OnFirstRead: g.membersMet,
 	}
 	g.group.Go(registrar.Register)
 	g.group.Go(registrar.Follow)
@@ -199,8 +199,8 @@
 func (g *Gateway) self() presence.Member {
 	c := g.Config
 	return presence.Member{
-		Box: c.Box, Role: presence.RoleGateway, Zone: c.Zone, Peers: c.Peers, Requests: c.Requests, Born: g.Born,
-		Link: c.Link,
+		Box: c.Box, Role: presence.RoleGateway, Zone: c.Zone, PeerAddress: c.Peers, RequestAddress: c.Requests, Incarnation: g.Born,
+		LinkRate: c.Link,
 	}
 }
 
--- a/internal/core/gateway/hello.go
+++ b/internal/core/gateway/hello.go
@@ -31,7 +31,7 @@
 
 // greet tells a new member that this gateway lives.
 func (g *Gateway) greet(m presence.Member) {
-	g.socket.Send(g.greeting(), []graniteknot.Address{m.Peers})
+	g.socket.Send(g.greeting(), []graniteknot.Address{m.PeerAddress})
 	g.greetLimits(&m)
 }
 
@@ -102,8 +102,8 @@
 // greeting is what this gateway tells of itself.
 func (g *Gateway) greeting() presence.Message {
 	self := g.self()
-	hello := presence.Message{Ready: g.ready(), Self: &self, Relay: g.relaying.Load(), Quarantine: g.Quarantine.Digest(), Lost: g.lost.Load()}
-	hello.Settings = g.version()
+	hello := presence.Message{Ready: g.ready(), Self: &self, Relay: g.relaying.Load(), QuarantineDigest: g.Quarantine.Digest(), StoreLost: g.lost.Load()}
+	hello.ConfigVersion = g.version()
 	return hello
 }
 
@@ -120,7 +120,7 @@
 	var to []graniteknot.Address
 	for _, role := range []presence.Role{presence.RoleGateway, presence.RoleSidecar} {
 		for _, m := range g.Members.Members(role, g.Config.Box) {
-			to = append(to, m.Peers)
+			to = append(to, m.PeerAddress)
 		}
 	}
 	return to
@@ -146,7 +146,7 @@
 	}
 	to := g.Members.ZoneGateways(g.self())
 	for i := range bundles {
-		g.socket.Send(presence.Message{Ready: g.ready(), Relay: true, Settings: g.version(), Lost: g.lost.Load(), Bundle: &bundles[i]}, to)
+		g.socket.Send(presence.Message{Ready: g.ready(), Relay: true, ConfigVersion: g.version(), StoreLost: g.lost.Load(), Bundle: &bundles[i]}, to)
 	}
 }
 
@@ -157,7 +157,7 @@
 		g.told(m, now)
 		return
 	}
-	if m.Quarantined != nil {
+	if m.QuarantineRecords != nil {
 		g.quarantineHeard(m, now)
 		return
 	}
@@ -168,7 +168,7 @@
 	if g.Members.ApplyMessage(m, now) {
 		g.greetLimits(m.Self)
 	}
-	g.noteVersion(versionNotice{catalog.Version(m.Settings), m.Box, true}, now)
+	g.noteVersion(versionNotice{catalog.Version(m.ConfigVersion), m.Box, true}, now)
 	g.heardOfReaders()
 	g.bundler.Add(m, now)
 	if m.Self != nil {
@@ -182,8 +182,8 @@
 // told takes what a relay passes on.
 func (g *Gateway) told(m *presence.Message, now time.Time) {
 	g.Members.ApplyBundle(m, now)
-	g.noteVersion(versionNotice{catalog.Version(m.Settings), m.Box, true}, now)
-	g.noteVersion(versionNotice{catalog.Version(m.Bundle.Settings), m.Box, false}, now)
+	g.noteVersion(versionNotice{catalog.Version(m.ConfigVersion), m.Box, true}, now)
+	g.noteVersion(versionNotice{catalog.Version(m.Bundle.ConfigVersion), m.Box, false}, now)
 	g.heardOfReaders()
 	for i := range m.Bundle.Reports {
 		r := &m.Bundle.Reports[i]
--- a/internal/core/gateway/limits.go
+++ b/internal/core/gateway/limits.go
@@ -92,7 +92,7 @@
 		g.granted(&grant, now)
 		return
 	}
-	g.sendQuota(&quota.Message{Asks: []quota.Ask{a.Ask}}, []graniteknot.Address{home.Peers})
+	g.sendQuota(&quota.Message{Asks: []quota.Ask{a.Ask}}, []graniteknot.Address{home.PeerAddress})
 }
 
 // limitHome returns the gateway that deals out a limit, the next ones after some; nil for this
@@ -199,7 +199,7 @@
 			told = append(told, w)
 		}
 	}
-	g.tellLimits(told, []graniteknot.Address{m.Peers})
+	g.tellLimits(told, []graniteknot.Address{m.PeerAddress})
 }
 
 func (g *Gateway) countLimit(name, what string, n int) {
--- a/internal/core/gateway/listen.go
+++ b/internal/core/gateway/listen.go
@@ -76,8 +76,8 @@
 // appendRequests appends where gateways take requests, of those that say so.
 func appendRequests(out []graniteknot.Address, members []presence.Member) []graniteknot.Address {
 	for _, m := range members {
-		if m.Requests != "" {
-			out = append(out, m.Requests)
+		if m.RequestAddress != "" {
+			out = append(out, m.RequestAddress)
 		}
 	}
 	return out
--- a/internal/core/gateway/newer.go
+++ b/internal/core/gateway/newer.go
@@ -173,7 +173,7 @@
 		return true
 	}
 	if box, ok := g.newer.from(catalog.Version(own)); ok {
-		if peers, known := g.Members.PeerAddress(box); known && g.takeFrom(ctx, presence.Member{Box: box, Peers: peers}, own) {
+		if peers, known := g.Members.PeerAddress(box); known && g.takeFrom(ctx, presence.Member{Box: box, PeerAddress: peers}, own) {
 			return true
 		}
 	}
@@ -194,7 +194,7 @@
 // takeFrom takes the configuration of a gateway if it is newer.
 func (g *Gateway) takeFrom(ctx context.Context, m presence.Member, own uint64) bool {
 	asked := g.Clock.Now()
-	answer, err := g.askPeer(ctx, m.Peers, askSettings)
+	answer, err := g.askPeer(ctx, m.PeerAddress, askSettings)
 	if err != nil || answer.State <= own {
 		return false
 	}
--- a/internal/core/gateway/quarantine.go
+++ b/internal/core/gateway/quarantine.go
@@ -68,12 +68,12 @@
 		g.Log.Warn("quarantine", slog.String("error", err.Error()))
 		return
 	}
-	g.socket.Send(presence.Message{Quarantined: body}, to)
+	g.socket.Send(presence.Message{QuarantineRecords: body}, to)
 }
 
 // quarantineHeard takes in what another gateway told; a relay passes on what is new.
 func (g *Gateway) quarantineHeard(m *presence.Message, now time.Time) {
-	entries, err := quarantine.Decode(m.Quarantined)
+	entries, err := quarantine.Decode(m.QuarantineRecords)
 	if err != nil {
 		g.Log.Warn("quarantine", slog.String("peer", string(m.Box)), slog.String("error", err.Error()))
 		return
@@ -103,10 +103,10 @@
 
 // compareQuarantine takes what another gateway knows where its digest differs.
 func (g *Gateway) compareQuarantine(m *presence.Message) {
-	if m.Quarantine == 0 || m.Quarantine == g.Quarantine.Digest() || !g.ward.differs(m.Box, m.Quarantine) {
+	if m.QuarantineDigest == 0 || m.QuarantineDigest == g.Quarantine.Digest() || !g.ward.differs(m.Box, m.QuarantineDigest) {
 		return
 	}
-	box, from := m.Box, m.Self.Peers
+	box, from := m.Box, m.Self.PeerAddress
 	g.group.Go(func(ctx context.Context) {
 		records, err := g.socket.Fetch(ctx, from, askQuarantinePart)
 		if err != nil {
--- a/internal/core/gateway/readers.go
+++ b/internal/core/gateway/readers.go
@@ -108,7 +108,7 @@
 func (g *Gateway) readersPeers(now time.Time) []graniteknot.Address {
 	var out []graniteknot.Address
 	for _, m := range g.readers(now) {
-		out = append(out, m.Peers)
+		out = append(out, m.PeerAddress)
 	}
 	return out
 }
--- a/internal/core/gateway/readers_test.go
+++ b/internal/core/gateway/readers_test.go
@@ -216,7 +216,7 @@
 		return binary.AppendUvarint(binary.AppendUvarint(nil, version), uint64(age.Microseconds())), nil
 	})
 	var telling group.Group
-	self := presence.Member{Box: box, Role: presence.RoleGateway, Zone: "z", Peers: address, Born: 1}
+	self := presence.Member{Box: box, Role: presence.RoleGateway, Zone: "z", PeerAddress: address, Incarnation: 1}
 	telling.Go(func(ctx context.Context) {
 		for ctx.Err() == nil {
 			socket.Send(presence.Message{Ready: true, Self: &self}, to())
--- a/internal/core/gateway/refusal_test.go
+++ b/internal/core/gateway/refusal_test.go
@@ -45,14 +45,14 @@
 		}
 		return standingOf(version), nil
 	})
-	self := presence.Member{Box: "ahead", Role: presence.RoleGateway, Zone: "z0", Peers: at, Born: 1}
+	self := presence.Member{Box: "ahead", Role: presence.RoleGateway, Zone: "z0", PeerAddress: at, Incarnation: 1}
 	a.telling.Go(func(ctx context.Context) {
 		for ctx.Err() == nil {
 			var to []graniteknot.Address
 			for _, b := range f.boxes {
 				to = append(to, b.config.Peers)
 			}
-			a.socket.Send(presence.Message{Ready: true, Self: &self, Settings: version}, to)
+			a.socket.Send(presence.Message{Ready: true, Self: &self, ConfigVersion: version}, to)
 			delay.For(ctx, presence.HeartbeatInterval)
 		}
 	})
--- a/internal/core/gateway/revalidate.go
+++ b/internal/core/gateway/revalidate.go
@@ -127,7 +127,7 @@
 // take takes records from a reader that has others: nearly all gateways would else call
 // the store at each change, each of them for all records.
 func (g *Gateway) take(ctx context.Context, p *proof, kind presence.QueryKind) ([]graniteknot.KeyedRecord, bool) {
-	records, err := g.socket.Fetch(ctx, p.from.Peers, kind)
+	records, err := g.socket.Fetch(ctx, p.from.PeerAddress, kind)
 	if err != nil {
 		g.Log.Warn("records of a reader", slog.String("reader", string(p.from.Box)), slog.String("error", err.Error()))
 		return nil, false
@@ -159,7 +159,7 @@
 	for i := range min(revalidateTries, len(from)) {
 		reader := from[(first+i)%len(from)]
 		asked := g.Clock.Now()
-		told, err := g.askPeer(ctx, reader.Peers, kind)
+		told, err := g.askPeer(ctx, reader.PeerAddress, kind)
 		if errors.Is(err, errUnread) {
 			return proof{from: reader, unread: true}, true
 		}
--- a/internal/core/gateway/share.go
+++ b/internal/core/gateway/share.go
@@ -138,11 +138,11 @@
 	for i := range min(revalidateTries, len(peers)) {
 		peer := peers[(first+i)%len(peers)]
 		asked := g.Clock.Now()
-		told, err := g.askPeer(ctx, peer.Peers, stateKind)
+		told, err := g.askPeer(ctx, peer.PeerAddress, stateKind)
 		if err != nil || !wanted(told.State) {
 			continue
 		}
-		records, err := g.socket.Fetch(ctx, peer.Peers, partKind)
+		records, err := g.socket.Fetch(ctx, peer.PeerAddress, partKind)
 		if err != nil {
 			g.Log.Warn("records of a peer", slog.String("peer", string(peer.Box)), slog.String("error", err.Error()))
 			continue
--- a/internal/core/gateway/share_test.go
+++ b/internal/core/gateway/share_test.go
@@ -88,7 +88,7 @@
 			}
 			defer socket.Close()
 			socket.HandleQueries(lie.answer)
-			self := presence.Member{Box: graniteknot.BoxName(ip), Role: presence.RoleGateway, Zone: "z", Peers: peers, Born: 1}
+			self := presence.Member{Box: graniteknot.BoxName(ip), Role: presence.RoleGateway, Zone: "z", PeerAddress: peers, Incarnation: 1}
 			record, err := json.Marshal(self)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/core/gateway/young.go
+++ b/internal/core/gateway/young.go
@@ -55,7 +55,7 @@
 	peers := g.Members.AliveMembers(presence.RoleGateway, g.Config.Box, g.Clock.Now())
 	for _, i := range rand.Perm(len(peers))[:min(revalidateTries, len(peers))] {
 		asked := g.Clock.Now()
-		told, err := g.askPeer(ctx, peers[i].Peers, askSettings)
+		told, err := g.askPeer(ctx, peers[i].PeerAddress, askSettings)
 		if err != nil {
 			continue
 		}
@@ -68,7 +68,7 @@
 
 // takeBeforeFirst takes the configuration of a gateway that has a newer one than the store shows.
 func (g *Gateway) takeBeforeFirst(ctx context.Context, p *proof, shown catalog.Version) {
-	records, err := g.socket.Fetch(ctx, p.from.Peers, askSettingsPart)
+	records, err := g.socket.Fetch(ctx, p.from.PeerAddress, askSettingsPart)
 	if err != nil {
 		g.Log.Warn("newer configuration", slog.String("peer", string(p.from.Box)), slog.String("error", err.Error()))
 		return
--- a/internal/core/presence/bundle.go
+++ b/internal/core/presence/bundle.go
@@ -20,10 +20,10 @@
 	Unready []uint32 `cbor:"4,keyasint,omitempty"`
 	// Joined describes gateways that are new.
 	Joined []Member `cbor:"5,keyasint,omitempty"`
-	// Settings is the newest version of the configuration that any of them has.
-	Settings uint64 `cbor:"6,keyasint,omitempty"`
-	// Lost names those of the gateways heard that the store does not answer.
-	Lost []uint32 `cbor:"7,keyasint,omitempty"`
+	// ConfigVersion is the newest version of the configuration that any of them has.
+	ConfigVersion uint64 `cbor:"6,keyasint,omitempty"`
+	// StoreLost names those of the gateways heard that the store does not answer.
+	StoreLost []uint32 `cbor:"7,keyasint,omitempty"`
 }
 
 // RelayedReport is a digest as a relay passes it on.
@@ -104,13 +104,13 @@
 		b.lost = map[graniteknot.BoxName]bool{}
 	}
 	b.ready[m.Box] = m.Ready
-	if m.Lost {
+	if m.StoreLost {
 		b.lost[m.Box] = true
 	} else {
 		delete(b.lost, m.Box)
 	}
-	b.settings = max(b.settings, m.Settings)
-	if known := b.joined[m.Box]; known.member.Born != m.Self.Born {
+	b.settings = max(b.settings, m.ConfigVersion)
+	if known := b.joined[m.Box]; known.member.Incarnation != m.Self.Incarnation {
 		b.joined[m.Box] = joinedMember{*m.Self, now}
 	}
 }
@@ -121,7 +121,7 @@
 	defer b.mu.Unlock()
 	out := b.reported(now)
 	var rest Bundle
-	rest.Settings = b.settings
+	rest.ConfigVersion = b.settings
 	for box, ready := range b.ready {
 		if ready {
 			rest.Ready = append(rest.Ready, nameOf(box))
@@ -129,10 +129,10 @@
 			rest.Unready = append(rest.Unready, nameOf(box))
 		}
 		if b.lost[box] {
-			rest.Lost = append(rest.Lost, nameOf(box))
+			rest.StoreLost = append(rest.StoreLost, nameOf(box))
 		}
-		if len(rest.Ready)+len(rest.Unready)+len(rest.Lost) >= mostNames {
-			out, rest = append(out, rest), Bundle{Settings: b.settings}
+		if len(rest.Ready)+len(rest.Unready)+len(rest.StoreLost) >= mostNames {
+			out, rest = append(out, rest), Bundle{ConfigVersion: b.settings}
 		}
 	}
 	out = append(out, rest)
--- a/internal/core/presence/census_test.go
+++ b/internal/core/presence/census_test.go
@@ -25,7 +25,7 @@
 	p := &informed{}
 	p.census = presence.MemberSync{
 		Socket: s, View: &p.view,
-		Self: presence.Member{Box: box, Role: role, Zone: "z", Peers: s.Address(), Born: graniteknot.Incarnation(len(box))},
+		Self: presence.Member{Box: box, Role: role, Zone: "z", PeerAddress: s.Address(), Incarnation: graniteknot.Incarnation(len(box))},
 	}
 	s.HandleQueries(func(_ context.Context, kind presence.QueryKind, body []byte) ([]byte, error) {
 		out, mine, err := p.census.HandleQuery(kind, body)
@@ -60,7 +60,7 @@
 		t.Fatalf("%d gateways are known", len(known))
 	}
 	for _, m := range known {
-		if m.Box == renewed.Box && m.Born != renewed.Born {
+		if m.Box == renewed.Box && m.Incarnation != renewed.Incarnation {
 			t.Errorf("%+v is known in the place of %+v", m, renewed)
 		}
 	}
--- a/internal/core/presence/fuzz_test.go
+++ b/internal/core/presence/fuzz_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	last, got := make(chan struct{}), presence.Message{Settings: 1}
+	last, got := make(chan struct{}), presence.Message{ConfigVersion: 1}
 	taker, err := n.ListenPacket(context.Background(), "10.0.0.4:4")
 	if err != nil {
 		t.Fatal(err)
@@ -47,11 +47,11 @@
 
 // FuzzDatagram has a process read any datagram, take in what it says and pass it on.
 func FuzzDatagram(f *testing.F) {
-	member := presence.Member{Box: "b", Role: presence.RoleGateway, Zone: "z", Peers: "10.0.0.9:4", Born: 3}
+	member := presence.Member{Box: "b", Role: presence.RoleGateway, Zone: "z", PeerAddress: "10.0.0.9:4", Incarnation: 3}
 	load := presence.LoadReport{Target: "10.0.0.8:80", Running: 2, GroupOpen: true, Skew: 1.2, ForecastSequence: 4}
-	bundle := presence.Bundle{Ready: []uint32{1}, Lost: []uint32{1}, Settings: 4, Joined: []presence.Member{member}}
+	bundle := presence.Bundle{Ready: []uint32{1}, StoreLost: []uint32{1}, ConfigVersion: 4, Joined: []presence.Member{member}}
 	for _, m := range []presence.Message{
-		{Box: "b", Self: &member, Ready: true, Settings: 3, Lost: true},
+		{Box: "b", Self: &member, Ready: true, ConfigVersion: 3, StoreLost: true},
 		{Box: "s", Load: &load},
 		{Box: "b", Relay: true, Bundle: &bundle},
 		{Box: "b", Query: &presence.Query{ID: 1, Kind: 16, Body: []byte{1}}},
--- a/internal/core/presence/message.go
+++ b/internal/core/presence/message.go
@@ -9,8 +9,8 @@
 
 // Message is one datagram.
 type Message struct {
-	Box  graniteknot.BoxName     `cbor:"1,keyasint"`
-	Born graniteknot.Incarnation `cbor:"2,keyasint"`
+	Box         graniteknot.BoxName     `cbor:"1,keyasint"`
+	Incarnation graniteknot.Incarnation `cbor:"2,keyasint"`
 	// Sequence grows with each datagram of a life.
 	Sequence uint64 `cbor:"3,keyasint"`
 	// Ready gateways take requests.
@@ -19,20 +19,20 @@
 	Self *Member `cbor:"6,keyasint,omitempty"`
 	// Load is set by sidecars.
 	Load *LoadReport `cbor:"5,keyasint,omitempty"`
-	// Settings is the version of the configuration that a gateway has; 0 for none.
-	Settings uint64 `cbor:"9,keyasint,omitempty"`
+	// ConfigVersion is the version of the configuration that a gateway has; 0 for none.
+	ConfigVersion uint64 `cbor:"9,keyasint,omitempty"`
 	// Relay gateways pass on what they are told to those of their zone.
 	Relay bool `cbor:"10,keyasint,omitempty"`
 	// Bundle is what a relay passes on.
 	Bundle *Bundle `cbor:"11,keyasint,omitempty"`
-	// Quarantine is the digest of the requests that the sender knows to end replicas; 0 is
+	// QuarantineDigest is the digest of the requests that the sender knows to end replicas; 0 is
 	// none. Quarantined are some of them, as package quarantine writes them.
-	Quarantine  uint64 `cbor:"12,keyasint,omitempty"`
-	Quarantined []byte `cbor:"13,keyasint,omitempty"`
+	QuarantineDigest  uint64 `cbor:"12,keyasint,omitempty"`
+	QuarantineRecords []byte `cbor:"13,keyasint,omitempty"`
 	// Quota is what gateways tell and ask each other of limits, as package quota writes it.
 	Quota []byte `cbor:"14,keyasint,omitempty"`
-	// Lost tells that the store does not answer the sender, a gateway.
-	Lost bool `cbor:"15,keyasint,omitempty"`
+	// StoreLost tells that the store does not answer the sender, a gateway.
+	StoreLost bool `cbor:"15,keyasint,omitempty"`
 	// Query and Answer are set where the datagram is one.
 	Query *Query `cbor:"7,keyasint,omitempty"`
 	Reply *Reply `cbor:"8,keyasint,omitempty"`
--- a/internal/core/presence/relay.go
+++ b/internal/core/presence/relay.go
@@ -71,7 +71,7 @@
 
 // order says which of two gateways relays first.
 func order(a, b Member) int {
-	return cmp.Or(cmp.Compare(b.Link, a.Link), cmp.Compare(nameOf(a.Box), nameOf(b.Box)))
+	return cmp.Or(cmp.Compare(b.LinkRate, a.LinkRate), cmp.Compare(nameOf(a.Box), nameOf(b.Box)))
 }
 
 // nameOf is what bundles call a box by. Two boxes with the same would be taken for
@@ -121,7 +121,7 @@
 func addresses(all []*peer) []graniteknot.Address {
 	out := make([]graniteknot.Address, len(all))
 	for i, p := range all {
-		out[i] = p.Peers
+		out[i] = p.PeerAddress
 	}
 	slices.Sort(out)
 	return out
@@ -136,10 +136,10 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.told = now
-	v.settings = max(v.settings, b.Settings, m.Settings)
+	v.settings = max(v.settings, b.ConfigVersion, m.ConfigVersion)
 	if p := v.peers[m.Box]; p != nil {
 		p.ready, p.heard, p.relay = m.Ready, now, now
-		v.setLost(p, m.Lost)
+		v.setLost(p, m.StoreLost)
 	}
 	named := make(map[uint32]*peer, len(v.peers))
 	for _, p := range v.peers {
@@ -150,13 +150,13 @@
 	for _, name := range b.Ready {
 		if p := named[name]; p != nil {
 			p.ready, p.heard = true, now
-			v.setLost(p, slices.Contains(b.Lost, name))
+			v.setLost(p, slices.Contains(b.StoreLost, name))
 		}
 	}
 	for _, name := range b.Unready {
 		if p := named[name]; p != nil {
 			p.ready, p.heard = false, now
-			v.setLost(p, slices.Contains(b.Lost, name))
+			v.setLost(p, slices.Contains(b.StoreLost, name))
 		}
 	}
 }
--- a/internal/core/presence/relay_test.go
+++ b/internal/core/presence/relay_test.go
@@ -52,13 +52,13 @@
 	zones := []graniteknot.AvailabilityZone{"a", "b", "c", "d", "e"}
 	add := func(role presence.Role, i int) *process {
 		p := &process{reported: map[graniteknot.Address]time.Time{}, Member: presence.Member{
-			Box: graniteknot.BoxName(fmt.Sprintf("%s-%d", role, i)), Role: role, Zone: zones[i%len(zones)], Born: graniteknot.Incarnation(i + 1),
-			Peers: graniteknot.Address(fmt.Sprintf("10.0.%d.%d:7000", len(d.all)/200, len(d.all)%200+1)),
+			Box: graniteknot.BoxName(fmt.Sprintf("%s-%d", role, i)), Role: role, Zone: zones[i%len(zones)], Incarnation: graniteknot.Incarnation(i + 1),
+			PeerAddress: graniteknot.Address(fmt.Sprintf("10.0.%d.%d:7000", len(d.all)/200, len(d.all)%200+1)),
 		}}
 		if role == presence.RoleSidecar {
 			p.Target = graniteknot.Address(fmt.Sprintf("10.1.%d.%d:80", i/200, i%200+1))
 		}
-		d.all[p.Peers] = p
+		d.all[p.PeerAddress] = p
 		return p
 	}
 	for i := range gateways {
@@ -79,7 +79,7 @@
 
 // send carries a message to some processes.
 func (d *deployment) send(from *process, m *presence.Message, to []graniteknot.Address) {
-	m.Box, m.Born = from.Box, from.Born
+	m.Box, m.Incarnation = from.Box, from.Incarnation
 	text, err := cbor.Marshal(m)
 	if err != nil {
 		d.t.Fatal(err)
@@ -148,13 +148,13 @@
 	if p.relaying && d.now.Sub(p.relayed) >= presence.RelayAnnounceInterval {
 		p.relayed, to = d.now, nil
 		for a := range d.all {
-			if a != p.Peers {
+			if a != p.PeerAddress {
 				to = append(to, a)
 			}
 		}
 	}
 	self := p.Member
-	d.send(p, &presence.Message{Ready: true, Relay: p.relaying, Self: &self, Settings: 5}, to)
+	d.send(p, &presence.Message{Ready: true, Relay: p.relaying, Self: &self, ConfigVersion: 5}, to)
 }
 
 // check tells what every living gateway knows: how many others live, and how old the
--- a/internal/core/presence/socket.go
+++ b/internal/core/presence/socket.go
@@ -104,7 +104,7 @@
 
 // encode completes a message.
 func (s *Socket) encode(m *Message) ([]byte, error) {
-	m.Box, m.Born, m.Sequence = s.box, s.born, s.sequence.Add(1)
+	m.Box, m.Incarnation, m.Sequence = s.box, s.born, s.sequence.Add(1)
 	return encode(m)
 }
 
--- a/internal/core/presence/view.go
+++ b/internal/core/presence/view.go
@@ -84,7 +84,7 @@
 	if v.peers == nil {
 		v.peers = map[graniteknot.BoxName]*peer{}
 	}
-	if old := v.peers[m.Box]; old != nil && old.Born == m.Born {
+	if old := v.peers[m.Box]; old != nil && old.Incarnation == m.Incarnation {
 		old.at = at
 		return false
 	}
@@ -108,7 +108,7 @@
 }
 
 func lifeOf(m *Member) uint64 {
-	return xxhash.Sum64String(string(m.Box) + "\x00" + strconv.FormatUint(uint64(m.Born), 10))
+	return xxhash.Sum64String(string(m.Box) + "\x00" + strconv.FormatUint(uint64(m.Incarnation), 10))
 }
 
 // records returns the records of all members, the own one included, in order of their
@@ -151,14 +151,14 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.settings = max(v.settings, m.Settings)
+	v.settings = max(v.settings, m.ConfigVersion)
 	p := v.peers[m.Box]
 	if p == nil {
 		return fresh
 	}
 	p.ready, p.heard, p.relay = m.Ready, now, time.Time{}
 	if m.Self != nil {
-		v.setLost(p, m.Lost)
+		v.setLost(p, m.StoreLost)
 	}
 	if m.Relay {
 		p.relay = now
@@ -195,7 +195,7 @@
 	if p == nil {
 		return "", false
 	}
-	return p.Peers, true
+	return p.PeerAddress, true
 }
 
 // ReadyMembers returns the members of a role that were heard of late and are ready,
--- a/internal/core/presence/view_test.go
+++ b/internal/core/presence/view_test.go
@@ -16,7 +16,7 @@
 
 func member(box graniteknot.BoxName, born graniteknot.Incarnation) presence.Member {
 	address := graniteknot.Address(fmt.Sprint("127.0.0.1:", int(box[0])))
-	return presence.Member{Box: box, Role: presence.RoleGateway, Peers: address, Requests: address, Born: born}
+	return presence.Member{Box: box, Role: presence.RoleGateway, PeerAddress: address, RequestAddress: address, Incarnation: born}
 }
 
 func names(list []presence.Member) string {
@@ -125,7 +125,7 @@
 			t.Errorf("%d records after a start at the same address", got)
 		}
 		moved := member("a", 3)
-		moved.Peers = "127.0.0.1:9"
+		moved.PeerAddress = "127.0.0.1:9"
 		live(moved)
 		if got := records(); got != 2 {
 			t.Errorf("%d records after a start at another address", got)
--- a/internal/core/sidecar/digest_test.go
+++ b/internal/core/sidecar/digest_test.go
@@ -125,7 +125,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { s.Stop(context.Background()) })
-	self := presence.Member{Box: "gateway", Role: presence.RoleGateway, Zone: "z", Peers: graniteknot.Address(ip(1) + ":18004"), Born: 1}
+	self := presence.Member{Box: "gateway", Role: presence.RoleGateway, Zone: "z", PeerAddress: graniteknot.Address(ip(1) + ":18004"), Incarnation: 1}
 	eventually(t, "the gateway is told", func() bool {
 		gateway.Send(presence.Message{Ready: true, Self: &self}, []graniteknot.Address{peers})
 		_, ok := out.first()
--- a/internal/core/sidecar/keep.go
+++ b/internal/core/sidecar/keep.go
@@ -167,7 +167,7 @@
 func (s *Sidecar) find(ctx context.Context, report *held.Report, former graniteknot.Rank) ranks.Found {
 	places := []ranks.Place{{Sidecar: s.Config.Peers, Target: s.Config.Target, Zone: s.Config.Zone}}
 	for _, m := range s.Members.Members(presence.RoleSidecar, s.Config.Box) {
-		places = append(places, ranks.Place{Sidecar: m.Peers, Target: m.Target, Zone: m.Zone})
+		places = append(places, ranks.Place{Sidecar: m.PeerAddress, Target: m.Target, Zone: m.Zone})
 	}
 	return ranks.Find(ctx, report.Group, report.Size, former, keeperSilence, places, s.socket, s.Rank)
 }
--- a/internal/core/sidecar/sidecar.go
+++ b/internal/core/sidecar/sidecar.go
@@ -103,10 +103,10 @@
 	if err := s.listen(ctx); err != nil {
 		return err
 	}
-	self := presence.Member{Box: c.Box, Role: presence.RoleSidecar, Zone: c.Zone, Peers: c.Peers, Target: c.Target, Born: s.Born, Link: c.Link}
+	self := presence.Member{Box: c.Box, Role: presence.RoleSidecar, Zone: c.Zone, PeerAddress: c.Peers, Target: c.Target, Incarnation: s.Born, LinkRate: c.Link}
 	s.census = presence.MemberSync{Socket: socket, View: &s.Members, Self: self, Clock: s.Clock}
 	registrar := &presence.Registrar{
-		Store: s.Store, View: &s.Members, Health: &s.Health, Log: s.Log, Self: self, Clock: s.Clock, Elsewhere: s.census.Sync,
+		Store: s.Store, View: &s.Members, Health: &s.Health, Log: s.Log, Self: self, Clock: s.Clock, SyncFromPeer: s.census.Sync,
 	}
 	s.group.Go(registrar.Register)
 	s.group.Go(registrar.Follow)
