--- a/internal/core/gateway/newer.go
+++ b/internal/core/gateway/newer.go
@@ -198,7 +198,7 @@
 	if err != nil || answer.State <= own {
 		return false
 	}
-	p := proof{from: m, Standing: answer, at: asked.Add(-answer.Age)}
+	p := proof{from: m, TopicStatus: answer, at: asked.Add(-answer.Age)}
 	records, ok := g.take(ctx, &p, askSettingsPart)
 	if !ok {
 		return false
--- a/internal/core/gateway/revalidate.go
+++ b/internal/core/gateway/revalidate.go
@@ -50,7 +50,7 @@
 type proof struct {
 	// from is the reader that was asked; Standing is what it answered, as of at.
 	from presence.Member
-	readers.Standing
+	readers.TopicStatus
 	at time.Time
 	// unread tells that the reader knows no state yet.
 	unread bool
@@ -103,7 +103,7 @@
 	if !ok {
 		return !g.mayCall(askReplicas, p.answered, g.Clock.Now())
 	}
-	if p.Sound {
+	if p.StoreHealthy {
 		g.Health.Elsewhere(p.at)
 	}
 	now := g.Clock.Now()
@@ -169,7 +169,7 @@
 			g.Meter.Count("graniteknot_revalidations_total", meter.Label{Name: "result", Value: "proved"})
 			g.validity.prefer(first + i)
 			g.validity.doubt(kind, false, asked)
-			return proof{from: reader, Standing: told, at: at}, true
+			return proof{from: reader, TopicStatus: told, at: at}, true
 		}
 		g.Meter.Count("graniteknot_revalidations_total", meter.Label{Name: "result", Value: "doubted"})
 		if err == nil || ctx.Err() == nil {
@@ -181,17 +181,17 @@
 }
 
 // askPeer asks a gateway for the state of a topic.
-func (g *Gateway) askPeer(ctx context.Context, to graniteknot.Address, kind presence.QueryKind) (readers.Standing, error) {
+func (g *Gateway) askPeer(ctx context.Context, to graniteknot.Address, kind presence.QueryKind) (readers.TopicStatus, error) {
 	short, cancel := context.WithTimeout(ctx, revalidateTime)
 	defer cancel()
 	body, err := g.socket.Ask(short, to, kind, nil)
 	if err != nil {
-		return readers.Standing{}, err
+		return readers.TopicStatus{}, err
 	}
 	if len(body) == 0 {
-		return readers.Standing{}, errUnread
+		return readers.TopicStatus{}, errUnread
 	}
-	return readers.DecodeStanding(body)
+	return readers.DecodeTopicStatus(body)
 }
 
 // answerPeer answers another process's question; a state that is not known yet with
@@ -225,6 +225,6 @@
 
 // standing is this gateway's answer on a topic.
 func (g *Gateway) standing(state uint64, age time.Duration, reader graniteknot.BoxName) []byte {
-	s := readers.Standing{State: state, Age: age, Sound: !g.Health.Doubtful(g.Clock.Now(), doubtTime), Reader: reader}
+	s := readers.TopicStatus{State: state, Age: age, StoreHealthy: !g.Health.Doubtful(g.Clock.Now(), doubtTime), Reader: reader}
 	return s.Encode()
 }
--- a/internal/core/gateway/young.go
+++ b/internal/core/gateway/young.go
@@ -60,7 +60,7 @@
 			continue
 		}
 		if told.State > uint64(shown) {
-			g.takeBeforeFirst(ctx, &proof{from: peers[i], Standing: told, at: asked.Add(-told.Age)}, shown)
+			g.takeBeforeFirst(ctx, &proof{from: peers[i], TopicStatus: told, at: asked.Add(-told.Age)}, shown)
 		}
 		return
 	}
