--- a/internal/core/gateway/drill_test.go
+++ b/internal/core/gateway/drill_test.go
@@ -67,7 +67,7 @@
 func (d *drilled) drill() {
 	d.store.Restore(d.copy)
 	for _, b := range d.all {
-		eventually(d.t, "the new era is seen", func() bool { return b.Health.Renewals() > 0 })
+		eventually(d.t, "the new era is seen", func() bool { return b.Health.Restores() > 0 })
 	}
 }
 
--- a/internal/core/gateway/follow.go
+++ b/internal/core/gateway/follow.go
@@ -239,7 +239,7 @@
 // vanished acts on a record that is gone. While the store is away, and shortly
 // after, records lapse that live replicas will write again.
 func (g *Gateway) vanished(id catalog.ReplicaID) {
-	if g.Health.Doubtful(g.Clock.Now(), doubtTime) {
+	if g.Health.RecentOutage(g.Clock.Now(), doubtTime) {
 		if g.Fleet.Lapse(id, g.Clock.Now()) {
 			g.Log.Info("replica lapsed", slog.String("replica", string(id)))
 		}
@@ -259,7 +259,7 @@
 // look removes replicas that did not come back, and tells when the
 // configuration becomes too old to trust keys, or new enough again.
 func (g *Gateway) look() {
-	if back, up := g.Health.Back(); up {
+	if back, up := g.Health.UpSince(); up {
 		for _, id := range g.Fleet.Expire(back, g.Clock.Now()) {
 			g.shared.dropReplica(string(id))
 			g.Log.Info("replica gone", slog.String("replica", string(id)), slog.Bool("lapsed", true))
--- a/internal/core/gateway/readers.go
+++ b/internal/core/gateway/readers.go
@@ -136,11 +136,11 @@
 		return true
 	}
 	if g.standsBy(now) {
-		_, up := g.Health.Back()
+		_, up := g.Health.UpSince()
 		return up || g.validity.probeDue(kind, probePeriod, now)
 	}
 	doubted := g.validity.doubt(kind, answered, now)
-	if _, up := g.Health.Back(); up && !answered {
+	if _, up := g.Health.UpSince(); up && !answered {
 		return true
 	}
 	return (!answered || doubted > doubtPatience) && g.validity.probeDue(kind, rareProbe, now)
@@ -152,7 +152,7 @@
 func (g *Gateway) provers(kind presence.QueryKind, now time.Time) []presence.Member {
 	before := g.readers(now)
 	many := g.many(now)
-	_, up := g.Health.Back()
+	_, up := g.Health.UpSince()
 	lost := g.Health.Lost(now)
 	switch {
 	case many && !lost, !many && up:
--- a/internal/core/gateway/revalidate.go
+++ b/internal/core/gateway/revalidate.go
@@ -104,7 +104,7 @@
 		return !g.mayCall(askReplicas, p.answered, g.Clock.Now())
 	}
 	if p.StoreHealthy {
-		g.Health.Elsewhere(p.at)
+		g.Health.RecordPeerRead(p.at)
 	}
 	now := g.Clock.Now()
 	age, read := g.validity.age(now)
@@ -225,6 +225,6 @@
 
 // standing is this gateway's answer on a topic.
 func (g *Gateway) standing(state uint64, age time.Duration, reader graniteknot.BoxName) []byte {
-	s := readers.TopicStatus{State: state, Age: age, StoreHealthy: !g.Health.Doubtful(g.Clock.Now(), doubtTime), Reader: reader}
+	s := readers.TopicStatus{State: state, Age: age, StoreHealthy: !g.Health.RecentOutage(g.Clock.Now(), doubtTime), Reader: reader}
 	return s.Encode()
 }
--- a/internal/core/watch/follower.go
+++ b/internal/core/watch/follower.go
@@ -196,15 +196,15 @@
 	if !f.Vital {
 		return f.long(ctx, do)
 	}
-	bounded, cancel := context.WithTimeout(ctx, wait+f.Health.Margin()<<(f.failures%patienceSteps))
+	bounded, cancel := context.WithTimeout(ctx, wait+f.Health.OverdueMargin()<<(f.failures%patienceSteps))
 	defer cancel()
-	f.Health.Begin(f.Topic, began, wait)
+	f.Health.BeginCall(f.Topic, began, wait)
 	page, err := do(bounded)
 	first := f.failures == 0
 	f.cut = first && err != nil && bounded.Err() != nil && ctx.Err() == nil
 	if f.cut {
 		f.failures++
-		f.Health.End(f.Topic, false, 0)
+		f.Health.EndCall(f.Topic, false, 0)
 		return page, errOverdue
 	}
 	if len(page.Records) > 0 && wait > 0 {
@@ -245,13 +245,13 @@
 	if err == nil {
 		took = f.Clock.Since(began) - wait
 	}
-	f.Health.End(f.Topic, answered, took)
+	f.Health.EndCall(f.Topic, answered, took)
 }
 
 // renewed acts on the store's return from an older copy. What is missing there may be
 // written again soon, as after an outage.
 func (f *Follower) renewed(era graniteknot.Era) {
-	f.Health.Renewed(f.Topic, f.from, era, f.Clock.Now())
+	f.Health.RecordRestore(f.Topic, f.from, era, f.Clock.Now())
 	if f.Renewed != nil {
 		f.Renewed(era)
 	}
@@ -273,12 +273,12 @@
 
 func (f *Follower) good() {
 	f.retry, f.failures = 0, 0
-	f.Health.Good(f.Clock.Now())
+	f.Health.RecordSuccess(f.Clock.Now())
 }
 
 func (f *Follower) note(ctx context.Context, began time.Time, err error) error {
 	if ctx.Err() == nil && !errors.Is(err, errOverdue) {
-		f.Health.Bad(began, err)
+		f.Health.RecordFailure(began, err)
 	}
 	return err
 }
--- a/internal/core/watch/overdue_test.go
+++ b/internal/core/watch/overdue_test.go
@@ -58,13 +58,13 @@
 	var h watch.Health
 	now := time.Now()
 	for range 3 {
-		h.Begin("t", now, 0)
+		h.BeginCall("t", now, 0)
 		if h.Lost(now.Add(took)) {
 			t.Error("lost before the answer is overdue")
 		}
-		h.End("t", true, took)
+		h.EndCall("t", true, took)
 	}
-	h.Begin("t", now, 0)
+	h.BeginCall("t", now, 0)
 	if h.Lost(now.Add(2 * took)) {
 		t.Error("lost after twice the usual time")
 	}
@@ -110,7 +110,7 @@
 		if seen.Load() == 0 {
 			t.Error("the change was not seen")
 		}
-		if _, up := health.Back(); !up || health.Doubtful(time.Now(), time.Minute) {
+		if _, up := health.UpSince(); !up || health.RecentOutage(time.Now(), time.Minute) {
 			t.Error("the store counts as lost")
 		}
 	})
