--- a/internal/core/gateway/follow.go
+++ b/internal/core/gateway/follow.go
@@ -39,9 +39,9 @@
 func (g *Gateway) followSettings(ctx context.Context) {
 	g.meet(ctx)
 	f := watch.Follower{
-		Store: g.Store, Topic: graniteknot.TopicSettings, Health: &g.Health, Clock: g.Clock, WaitNow: g.settingsWait, Spacing: settingsSpacing,
-		Newest: g.takeSettings, Next: g.takeSettings, Revalidate: g.revalidateSettings, Elsewhere: g.settingsElsewhere, RevalidatePause: revalidatePause, Early: true,
-		Renewed: func(graniteknot.Era) { g.Trees.Renew() }, Vital: true, Wake: g.settingsWake,
+		Store: g.Store, Topic: graniteknot.TopicSettings, Health: &g.Health, Clock: g.Clock, PollWaitFunc: g.settingsWait, MinReadInterval: settingsSpacing,
+		OnNewest: g.takeSettings, OnNext: g.takeSettings, Revalidate: g.revalidateSettings, FetchFromPeer: g.settingsElsewhere, RevalidateInterval: revalidatePause, RevalidateFirst: true,
+		OnRestore: func(graniteknot.Era) { g.Trees.Renew() }, DetectLoss: true, Wake: g.settingsWake,
 	}
 	f.Run(ctx)
 }
@@ -148,9 +148,9 @@
 func (g *Gateway) followReplicas(ctx context.Context) {
 	g.meet(ctx)
 	f := watch.Follower{
-		Store: g.Store, Topic: graniteknot.TopicReplicas, Health: &g.Health, Clock: g.Clock, Pause: time.Duration(replicasShare * float64(g.Config.Drain)),
-		Newest: g.resetReplicas, Next: g.takeReplicas, Revalidate: g.revalidateReplicas, Elsewhere: g.replicasElsewhere, RevalidatePause: revalidatePause, Early: true,
-		Urgent: func() bool { return g.Fleet.Doubted(g.Clock.Now()) }, Vital: true, Wake: g.replicasWake,
+		Store: g.Store, Topic: graniteknot.TopicReplicas, Health: &g.Health, Clock: g.Clock, ReadPause: time.Duration(replicasShare * float64(g.Config.Drain)),
+		OnNewest: g.resetReplicas, OnNext: g.takeReplicas, Revalidate: g.revalidateReplicas, FetchFromPeer: g.replicasElsewhere, RevalidateInterval: revalidatePause, RevalidateFirst: true,
+		ChangePending: func() bool { return g.Fleet.Doubted(g.Clock.Now()) }, DetectLoss: true, Wake: g.replicasWake,
 	}
 	f.Run(ctx)
 }
--- a/internal/core/gateway/gateway.go
+++ b/internal/core/gateway/gateway.go
@@ -127,7 +127,7 @@
 	if p.Network == nil {
 		p.Network = hostnet.Network{}
 	}
-	p.Store = &watch.Metered{Store: p.Store, Meter: p.Meter}
+	p.Store = &watch.MeteredStore{Store: p.Store, Meter: p.Meter}
 	g := &Gateway{
 		Parts: p, met: make(chan struct{}), wanted: make(chan struct{}), due: make(chan struct{}, 1),
 		settingsWake: make(chan struct{}, 1), replicasWake: make(chan struct{}, 1),
--- a/internal/core/gateway/quarantine.go
+++ b/internal/core/gateway/quarantine.go
@@ -148,10 +148,10 @@
 func (g *Gateway) followQuarantine(ctx context.Context) {
 	g.meet(ctx)
 	f := watch.Follower{
-		Store: g.Store, Topic: graniteknot.TopicQuarantine, Health: &g.Health, Clock: g.Clock, Wait: quarantineWait, Spacing: quarantineSpacing,
-		Newest: g.takeQuarantine, Next: g.takeQuarantine, Early: true, RevalidatePause: quarantinePause,
+		Store: g.Store, Topic: graniteknot.TopicQuarantine, Health: &g.Health, Clock: g.Clock, PollWait: quarantineWait, MinReadInterval: quarantineSpacing,
+		OnNewest: g.takeQuarantine, OnNext: g.takeQuarantine, RevalidateFirst: true, RevalidateInterval: quarantinePause,
 		Revalidate: func(context.Context) bool { return !g.readsQuarantine(g.Clock.Now()) },
-		Renewed:    func(graniteknot.Era) { g.renewQuarantine() },
+		OnRestore:  func(graniteknot.Era) { g.renewQuarantine() },
 	}
 	f.Run(ctx)
 }
--- a/internal/core/presence/registrar.go
+++ b/internal/core/presence/registrar.go
@@ -109,9 +109,9 @@
 		}
 	}
 	follower := watch.Follower{
-		Store: r.Store, Topic: graniteknot.TopicMembers, Health: r.Health, Clock: r.Clock, Wait: followWait, Pause: followPause,
-		Newest: newest, Next: r.take, Failed: func(error) { met(false) }, Revalidate: r.SyncFromPeer, RevalidatePause: MemberSyncInterval,
-		Renewed: func(era graniteknot.Era) { r.renewed = era },
+		Store: r.Store, Topic: graniteknot.TopicMembers, Health: r.Health, Clock: r.Clock, PollWait: followWait, ReadPause: followPause,
+		OnNewest: newest, OnNext: r.take, OnFailure: func(error) { met(false) }, Revalidate: r.SyncFromPeer, RevalidateInterval: MemberSyncInterval,
+		OnRestore: func(era graniteknot.Era) { r.renewed = era },
 	}
 	follower.Run(ctx)
 }
--- a/internal/core/sidecar/sidecar.go
+++ b/internal/core/sidecar/sidecar.go
@@ -83,7 +83,7 @@
 
 // New returns a sidecar that does nothing until Start.
 func New(p Parts) *Sidecar {
-	p.Store = &watch.Metered{Store: p.Store, Meter: p.Meter}
+	p.Store = &watch.MeteredStore{Store: p.Store, Meter: p.Meter}
 	s := &Sidecar{Parts: p, own: p.Rank(p.Config.Target), news: make(chan struct{}, 1)}
 	s.Health.Log = p.Log
 	s.doer = &ranks.Doer{Rank: s.own, Target: p.Config.Target, Log: p.Log, Meter: p.Meter, Clock: p.Clock}
--- a/internal/core/watch/follower_test.go
+++ b/internal/core/watch/follower_test.go
@@ -27,8 +27,8 @@
 func follow(store *keyed.Store, wait time.Duration) *follower {
 	f := &follower{values: map[string]string{}}
 	x := watch.Follower{
-		Store: store, Topic: "t", Health: &f.health, Wait: wait,
-		Newest: func(r []graniteknot.KeyedRecord, began time.Time) { f.reset(); f.take(r, began) }, Next: f.take,
+		Store: store, Topic: "t", Health: &f.health, PollWait: wait,
+		OnNewest: func(r []graniteknot.KeyedRecord, began time.Time) { f.reset(); f.take(r, began) }, OnNext: f.take,
 	}
 	f.run.Go(func(ctx context.Context) { x.Run(ctx) })
 	return f
@@ -189,10 +189,10 @@
 		valid.Store(true)
 		f := &follower{values: map[string]string{}}
 		x := watch.Follower{
-			Store: store, Topic: "t", Health: &f.health, Wait: time.Second,
-			Newest:     func(r []graniteknot.KeyedRecord, began time.Time) { f.reset(); f.take(r, began) },
-			Next:       f.take,
-			Revalidate: func(context.Context) bool { return valid.Load() }, RevalidatePause: 100 * time.Millisecond,
+			Store: store, Topic: "t", Health: &f.health, PollWait: time.Second,
+			OnNewest:   func(r []graniteknot.KeyedRecord, began time.Time) { f.reset(); f.take(r, began) },
+			OnNext:     f.take,
+			Revalidate: func(context.Context) bool { return valid.Load() }, RevalidateInterval: 100 * time.Millisecond,
 		}
 		f.run.Go(func(ctx context.Context) { x.Run(ctx) })
 		defer f.run.Stop()
