--- a/internal/core/presence/bundle.go
+++ b/internal/core/presence/bundle.go
@@ -54,34 +54,34 @@
 }
 
 const (
-	// mostReports is how many reports a bundle holds, of at most 30 bytes each, so that
+	// maxReportsPerBundle is how many reports a bundle holds, of at most 30 bytes each, so that
 	// it fits into a packet.
-	mostReports = 40
-	// mostNames and mostJoined bound the rest of a bundle in the same way.
-	mostNames  = 150
-	mostJoined = 5
-	// joinedFor is how long a gateway is new.
-	joinedFor = 2 * time.Second
-	paceUnit  = 100
+	maxReportsPerBundle = 40
+	// maxNamesPerBundle and mostJoined bound the rest of a bundle in the same way.
+	maxNamesPerBundle  = 150
+	maxJoinedPerBundle = 5
+	// newMemberPeriod is how long a gateway is new.
+	newMemberPeriod = 2 * time.Second
+	paceScale       = 100
 )
 
 // Bundler collects what a relay hears. The zero value is empty.
 type Bundler struct {
-	mu      sync.Mutex
-	reports map[graniteknot.Address]heardDigest
-	ready   map[graniteknot.BoxName]bool
-	lost    map[graniteknot.BoxName]bool
+	mu        sync.Mutex
+	reports   map[graniteknot.Address]receivedReport
+	ready     map[graniteknot.BoxName]bool
+	storeLost map[graniteknot.BoxName]bool
 	// joined are gateways that are new, since when.
-	joined   map[graniteknot.BoxName]joinedMember
-	settings uint64
+	joined        map[graniteknot.BoxName]newMember
+	configVersion uint64
 }
 
-type heardDigest struct {
-	digest LoadReport
-	at     time.Time
+type receivedReport struct {
+	report     LoadReport
+	receivedAt time.Time
 }
 
-type joinedMember struct {
+type newMember struct {
 	member Member
 	since  time.Time
 }
@@ -92,26 +92,26 @@
 	defer b.mu.Unlock()
 	if m.Load != nil {
 		if b.reports == nil {
-			b.reports = map[graniteknot.Address]heardDigest{}
+			b.reports = map[graniteknot.Address]receivedReport{}
 		}
-		b.reports[m.Load.Target] = heardDigest{*m.Load, now}
+		b.reports[m.Load.Target] = receivedReport{*m.Load, now}
 	}
 	if m.Self == nil || m.Self.Role != RoleGateway {
 		return
 	}
 	if b.ready == nil {
-		b.ready, b.joined = map[graniteknot.BoxName]bool{}, map[graniteknot.BoxName]joinedMember{}
-		b.lost = map[graniteknot.BoxName]bool{}
+		b.ready, b.joined = map[graniteknot.BoxName]bool{}, map[graniteknot.BoxName]newMember{}
+		b.storeLost = map[graniteknot.BoxName]bool{}
 	}
 	b.ready[m.Box] = m.Ready
 	if m.StoreLost {
-		b.lost[m.Box] = true
+		b.storeLost[m.Box] = true
 	} else {
-		delete(b.lost, m.Box)
+		delete(b.storeLost, m.Box)
 	}
-	b.settings = max(b.settings, m.ConfigVersion)
+	b.configVersion = max(b.configVersion, m.ConfigVersion)
 	if known := b.joined[m.Box]; known.member.Incarnation != m.Self.Incarnation {
-		b.joined[m.Box] = joinedMember{*m.Self, now}
+		b.joined[m.Box] = newMember{*m.Self, now}
 	}
 }
 
@@ -119,24 +119,24 @@
 func (b *Bundler) Flush(now time.Time) []Bundle {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := b.reported(now)
+	out := b.reportBundles(now)
 	var rest Bundle
-	rest.ConfigVersion = b.settings
+	rest.ConfigVersion = b.configVersion
 	for box, ready := range b.ready {
 		if ready {
-			rest.Ready = append(rest.Ready, nameOf(box))
+			rest.Ready = append(rest.Ready, boxHash(box))
 		} else {
-			rest.Unready = append(rest.Unready, nameOf(box))
+			rest.Unready = append(rest.Unready, boxHash(box))
 		}
-		if b.lost[box] {
-			rest.StoreLost = append(rest.StoreLost, nameOf(box))
+		if b.storeLost[box] {
+			rest.StoreLost = append(rest.StoreLost, boxHash(box))
 		}
-		if len(rest.Ready)+len(rest.Unready)+len(rest.StoreLost) >= mostNames {
-			out, rest = append(out, rest), Bundle{ConfigVersion: b.settings}
+		if len(rest.Ready)+len(rest.Unready)+len(rest.StoreLost) >= maxNamesPerBundle {
+			out, rest = append(out, rest), Bundle{ConfigVersion: b.configVersion}
 		}
 	}
 	out = append(out, rest)
-	for some := range slices.Chunk(b.new(now), mostJoined) {
+	for some := range slices.Chunk(b.recentlyJoined(now), maxJoinedPerBundle) {
 		out = append(out, Bundle{Joined: some})
 	}
 	clear(b.reports)
@@ -144,22 +144,22 @@
 	return out
 }
 
-// reported returns bundles of the replicas' reports; called with the lock held.
-func (b *Bundler) reported(now time.Time) []Bundle {
+// reportBundles returns bundles of the replicas' reports; called with the lock held.
+func (b *Bundler) reportBundles(now time.Time) []Bundle {
 	var out []Bundle
 	var one Bundle
 	for _, h := range b.reports {
-		target, err := netip.ParseAddrPort(string(h.digest.Target))
+		target, err := netip.ParseAddrPort(string(h.report.Target))
 		if err != nil {
 			// Nobody can be sent requests there.
 			continue
 		}
 		one.Reports = append(one.Reports, RelayedReport{
-			Target: target, Running: h.digest.Running, Waiting: h.digest.Waiting, PassMicros: h.digest.PassMicros,
-			AgeMillis: now.Sub(h.at).Milliseconds(), Pace: int(paceUnit*h.digest.Pace + 0.5), GroupOpen: h.digest.GroupOpen, ForecastIndex: one.forecast(&h.digest),
-			LifeMark: h.digest.LifeMark,
+			Target: target, Running: h.report.Running, Waiting: h.report.Waiting, PassMicros: h.report.PassMicros,
+			AgeMillis: now.Sub(h.receivedAt).Milliseconds(), Pace: int(paceScale*h.report.Pace + 0.5), GroupOpen: h.report.GroupOpen, ForecastIndex: one.forecastIndex(&h.report),
+			LifeMark: h.report.LifeMark,
 		})
-		if len(one.Reports) == mostReports {
+		if len(one.Reports) == maxReportsPerBundle {
 			out, one = append(out, one), Bundle{}
 		}
 	}
@@ -169,8 +169,8 @@
 	return out
 }
 
-// forecast returns the place of a digest's forecast, and 1.
-func (b *Bundle) forecast(d *LoadReport) int {
+// forecastIndex returns the place of a digest's forecastIndex, and 1.
+func (b *Bundle) forecastIndex(d *LoadReport) int {
 	if d.ForecastSequence == 0 {
 		return 0
 	}
@@ -187,7 +187,7 @@
 func (b *Bundle) LoadReport(r *RelayedReport) LoadReport {
 	d := LoadReport{
 		Target: graniteknot.Address(r.Target.String()), Running: r.Running, Waiting: r.Waiting, PassMicros: r.PassMicros,
-		Pace: float32(r.Pace) / paceUnit, GroupOpen: r.GroupOpen, LifeMark: r.LifeMark,
+		Pace: float32(r.Pace) / paceScale, GroupOpen: r.GroupOpen, LifeMark: r.LifeMark,
 	}
 	if at := r.ForecastIndex - 1; at >= 0 && at < len(b.Forecasts) {
 		f := b.Forecasts[at]
@@ -196,15 +196,15 @@
 	return d
 }
 
-// new returns the gateways that are new, in order of their names; called with the lock
+// recentlyJoined returns the gateways that are recentlyJoined, in order of their names; called with the lock
 // held.
-func (b *Bundler) new(now time.Time) []Member {
+func (b *Bundler) recentlyJoined(now time.Time) []Member {
 	var out []Member
 	for _, j := range b.joined {
-		if now.Sub(j.since) < joinedFor {
+		if now.Sub(j.since) < newMemberPeriod {
 			out = append(out, j.member)
 		}
 	}
-	slices.SortFunc(out, func(a, b Member) int { return order(a, b) })
+	slices.SortFunc(out, func(a, b Member) int { return compareRelayPriority(a, b) })
 	return out
 }
--- a/internal/core/presence/fuzz_test.go
+++ b/internal/core/presence/fuzz_test.go
@@ -107,7 +107,7 @@
 	f.Add([]byte("\xa0"), []byte{})
 	f.Fuzz(func(t *testing.T, first, next []byte) {
 		var n network.Network
-		asker, holder := sockets(t, &n)
+		asker, holder := newSockets(t, &n)
 		defer asker.Close()
 		defer holder.Close()
 		holder.HandleQueries(func(_ context.Context, _ presence.QueryKind, body []byte) ([]byte, error) {
--- a/internal/core/presence/member.go
+++ b/internal/core/presence/member.go
@@ -35,18 +35,18 @@
 	LinkRate float64 `json:"link,omitempty" cbor:"8,keyasint,omitempty"`
 }
 
-// memberOf reads a member's record. Whatever is not as members write it is another
+// decodeMember reads a member's record. Whatever is not as members write it is another
 // writer's, and an error.
-func memberOf(r graniteknot.KeyedRecord) (Member, error) {
+func decodeMember(r graniteknot.KeyedRecord) (Member, error) {
 	var m Member
 	if err := json.Unmarshal(r.Value, &m); err != nil {
 		return m, err
 	}
-	return m, m.check(graniteknot.BoxName(r.Key))
+	return m, m.validate(graniteknot.BoxName(r.Key))
 }
 
-// check tells what a member lacks to be told anything, or to be told of.
-func (m *Member) check(box graniteknot.BoxName) error {
+// validate tells what a member lacks to be told anything, or to be told of.
+func (m *Member) validate(box graniteknot.BoxName) error {
 	if m.Box == "" || m.Box != box {
 		return fmt.Errorf("box %.80q is not %.80q", m.Box, box)
 	}
@@ -63,20 +63,20 @@
 	return err
 }
 
-// unrecorded is the position of a record that is not known.
-const unrecorded graniteknot.Position = -1
+// unknownPosition is the position of a record that is not known.
+const unknownPosition graniteknot.Position = -1
 
 // peer is a member with what was heard of it.
 type peer struct {
 	Member
 	// ready is what its last datagram said; heard is when that came.
-	ready bool
-	heard time.Time
-	// at is the position of its record in the store; unrecorded when it was heard of
+	ready     bool
+	lastHeard time.Time
+	// position is the position of its record in the store; unrecorded when it was heard of
 	// otherwise.
-	at graniteknot.Position
-	// lost tells that the store did not answer it when it last said so.
-	lost bool
-	// relay is when it last said itself that it is a relay; zero when it does not.
-	relay time.Time
+	position graniteknot.Position
+	// storeLost tells that the store did not answer it when it last said so.
+	storeLost bool
+	// relayHeard is when it last said itself that it is a relayHeard; zero when it does not.
+	relayHeard time.Time
 }
--- a/internal/core/presence/census.go
+++ b/internal/core/presence/member_sync.go
@@ -11,8 +11,8 @@
 
 // The questions for who is known: for a digest, and for a part of the records.
 const (
-	askMembers     QueryKind = 20
-	askMembersPart QueryKind = 21
+	queryMembersDigest QueryKind = 20
+	queryMembersPart   QueryKind = 21
 )
 
 const (
@@ -20,9 +20,9 @@
 	// others. New gateways are heard of sooner; a sidecar at a new address is told by
 	// gateways from then on, and tells them by itself.
 	MemberSyncInterval = time.Second
-	// censusTime bounds a question, censusTries how many gateways are asked.
-	censusTime  = 150 * time.Millisecond
-	censusTries = 2
+	// memberSyncTimeout bounds a question, censusTries how many gateways are asked.
+	memberSyncTimeout  = 150 * time.Millisecond
+	memberSyncAttempts = 2
 )
 
 // MemberSync learns from gateways who is known, in place of the store: where each process
@@ -40,49 +40,49 @@
 	Sources func(now time.Time) []graniteknot.Address
 
 	mu sync.Mutex
-	// turn is whom to ask next; taken is the digest of what was last taken in.
-	turn  int
-	taken uint64
+	// nextSource is whom to ask next; taken is the digest of what was last taken in.
+	nextSource int
+	lastDigest uint64
 	// packed are the records as they were last packed, of the digest; shelf has the packs that
 	// others are taking.
-	packed PackedRecords
-	digest uint64
-	shelf  PackCache
+	packed       PackedRecords
+	packedDigest uint64
+	packCache    PackCache
 }
 
 // Sync asks a gateway or two who they know, and takes in what is new; false when none
 // answers. It is for Registrar's Elsewhere.
 func (c *MemberSync) Sync(ctx context.Context) bool {
-	to := c.from(c.Clock.Now())
+	to := c.sources(c.Clock.Now())
 	if len(to) == 0 {
 		return false
 	}
-	for range censusTries {
-		if c.ask(ctx, to[c.next()%len(to)]) {
+	for range memberSyncAttempts {
+		if c.syncFrom(ctx, to[c.nextIndex()%len(to)]) {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *MemberSync) from(now time.Time) []graniteknot.Address {
+func (c *MemberSync) sources(now time.Time) []graniteknot.Address {
 	if c.Sources != nil {
 		return c.Sources(now)
 	}
 	return c.View.DirectGateways(c.Self.Box, now)
 }
 
-func (c *MemberSync) next() int {
+func (c *MemberSync) nextIndex() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.turn++
-	return c.turn
+	c.nextSource++
+	return c.nextSource
 }
 
-func (c *MemberSync) ask(ctx context.Context, from graniteknot.Address) bool {
-	short, cancel := context.WithTimeout(ctx, censusTime)
+func (c *MemberSync) syncFrom(ctx context.Context, from graniteknot.Address) bool {
+	short, cancel := context.WithTimeout(ctx, memberSyncTimeout)
 	defer cancel()
-	body, err := c.Socket.Ask(short, from, askMembers, nil)
+	body, err := c.Socket.Ask(short, from, queryMembersDigest, nil)
 	if err != nil {
 		return false
 	}
@@ -90,15 +90,15 @@
 	if n <= 0 {
 		return false
 	}
-	if digest == c.View.Digest(c.Self) || !c.other(digest) {
+	if digest == c.View.Digest(c.Self) || !c.digestChanged(digest) {
 		return true
 	}
-	records, err := c.Socket.Fetch(ctx, from, askMembersPart)
+	records, err := c.Socket.Fetch(ctx, from, queryMembersPart)
 	if err != nil {
 		return false
 	}
 	for _, r := range records {
-		m, err := memberOf(r)
+		m, err := decodeMember(r)
 		if err != nil || m.Box == c.Self.Box {
 			continue
 		}
@@ -107,23 +107,23 @@
 	return true
 }
 
-// other tells whether a digest is not that of what was last taken in: who knows less
+// digestChanged tells whether a digest is not that of what was last taken in: who knows less
 // than this process is not to be asked again and again.
-func (c *MemberSync) other(digest uint64) bool {
+func (c *MemberSync) digestChanged(digest uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	before := c.taken
-	c.taken = digest
+	before := c.lastDigest
+	c.lastDigest = digest
 	return digest != before
 }
 
 // HandleQuery answers the questions of others; false for those of another kind.
 func (c *MemberSync) HandleQuery(kind QueryKind, body []byte) ([]byte, bool, error) {
 	switch kind {
-	case askMembers:
+	case queryMembersDigest:
 		return binary.AppendUvarint(nil, c.View.Digest(c.Self)), true, nil
-	case askMembersPart:
-		out, err := c.shelf.ServePart(body, c.pack)
+	case queryMembersPart:
+		out, err := c.packCache.ServePart(body, c.pack)
 		return out, true, err
 	}
 	return nil, false, nil
@@ -134,13 +134,13 @@
 	digest := c.View.Digest(c.Self)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.packed != nil && digest == c.digest {
+	if c.packed != nil && digest == c.packedDigest {
 		return c.packed, nil
 	}
 	packed, err := PackRecords(c.View.records(c.Self))
 	if err != nil {
 		return nil, err
 	}
-	c.packed, c.digest = packed, digest
+	c.packed, c.packedDigest = packed, digest
 	return packed, nil
 }
--- a/internal/core/presence/census_test.go
+++ b/internal/core/presence/member_sync_test.go
@@ -13,16 +13,16 @@
 
 var errKind = errors.New("no such question")
 
-// informed is a process with a socket and a view.
-type informed struct {
+// syncProcess is a process with a socket and a view.
+type syncProcess struct {
 	view   presence.View
 	census presence.MemberSync
 }
 
-func newInformed(t *testing.T, role presence.Role, box graniteknot.BoxName) *informed {
+func newSyncProcess(t *testing.T, role presence.Role, box graniteknot.BoxName) *syncProcess {
 	t.Helper()
 	s := listen(t)
-	p := &informed{}
+	p := &syncProcess{}
 	p.census = presence.MemberSync{
 		Socket: s, View: &p.view,
 		Self: presence.Member{Box: box, Role: role, Zone: "z", PeerAddress: s.Address(), Incarnation: graniteknot.Incarnation(len(box))},
@@ -37,10 +37,10 @@
 	return p
 }
 
-// TestCensus has a sidecar that knows one gateway learn from it of all others, and not
+// TestMemberSync has a sidecar that knows one gateway learn from it of all others, and not
 // put a life that ended in the place of the one that it knows.
-func TestCensus(t *testing.T) {
-	gateway, sidecar := newInformed(t, presence.RoleGateway, "g"), newInformed(t, presence.RoleSidecar, "s")
+func TestMemberSync(t *testing.T) {
+	gateway, sidecar := newSyncProcess(t, presence.RoleGateway, "g"), newSyncProcess(t, presence.RoleSidecar, "s")
 	now := time.Now()
 	const others = 200
 	for i := range others {
@@ -64,7 +64,7 @@
 			t.Errorf("%+v is known in the place of %+v", m, renewed)
 		}
 	}
-	alone := newInformed(t, presence.RoleSidecar, "a")
+	alone := newSyncProcess(t, presence.RoleSidecar, "a")
 	if alone.census.Sync(t.Context()) {
 		t.Error("nobody was there to answer")
 	}
--- a/internal/core/presence/parts.go
+++ b/internal/core/presence/parts.go
@@ -21,16 +21,16 @@
 const (
 	// partSize is how many bytes one answer holds of the records.
 	partSize = 1000
-	// mostPacked and mostUnpacked bound what is taken from another process: some ten
+	// maxPackedBytes and mostUnpacked bound what is taken from another process: some ten
 	// thousand routes packed, and what they unpack to.
-	mostPacked   = 4 << 20
-	mostUnpacked = 32 << 20
-	// partsAtATime is how many parts are asked for at a time.
-	partsAtATime = 8
-	// partTries is how often a part is asked for, since datagrams may be lost, and
+	maxPackedBytes   = 4 << 20
+	maxUnpackedBytes = 32 << 20
+	// concurrentParts is how many parts are asked for at a time.
+	concurrentParts = 8
+	// partAttempts is how often a part is asked for, since datagrams may be lost, and
 	// partTime bounds each question.
-	partTries = 3
-	partTime  = 120 * time.Millisecond
+	partAttempts = 3
+	partTimeout  = 120 * time.Millisecond
 )
 
 // ErrMalformed is an answer that can't be read.
@@ -60,7 +60,7 @@
 }
 
 func unpack(packed []byte) ([]graniteknot.KeyedRecord, error) {
-	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), mostUnpacked))
+	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpackedBytes))
 	if err != nil {
 		return nil, err
 	}
@@ -75,8 +75,8 @@
 	Bytes  []byte `cbor:"3,keyasint"`
 }
 
-// part answers a question for the part at an offset of a pack with a digest.
-func (p PackedRecords) part(offset, digest uint64) ([]byte, error) {
+// encodePart answers a question for the encodePart at an offset of a pack with a digest.
+func (p PackedRecords) encodePart(offset, digest uint64) ([]byte, error) {
 	if offset > uint64(len(p)) {
 		return nil, ErrMalformed
 	}
@@ -86,7 +86,7 @@
 
 // Fetch takes all records of a kind from the process at an address.
 func (s *Socket) Fetch(ctx context.Context, from graniteknot.Address, kind QueryKind) ([]graniteknot.KeyedRecord, error) {
-	first, err := s.fetchPart(ctx, from, kind, question(0, 0))
+	first, err := s.fetchPart(ctx, from, kind, encodePartQuery(0, 0))
 	if err != nil {
 		return nil, err
 	}
@@ -113,7 +113,7 @@
 	var next atomic.Int64
 	next.Store(int64(len(first.Bytes)))
 	var takers group.Group
-	for range partsAtATime {
+	for range concurrentParts {
 		takers.Go(func(context.Context) {
 			for ctx.Err() == nil {
 				at := int(next.Add(partSize)) - partSize
@@ -132,7 +132,7 @@
 
 // fetchInto takes the part at a place of the whole.
 func (s *Socket) fetchInto(ctx context.Context, from graniteknot.Address, kind QueryKind, first *part, whole []byte, at int) error {
-	one, err := s.fetchPart(ctx, from, kind, question(at, first.Digest))
+	one, err := s.fetchPart(ctx, from, kind, encodePartQuery(at, first.Digest))
 	if err != nil {
 		return err
 	}
@@ -145,8 +145,8 @@
 
 func (s *Socket) fetchPart(ctx context.Context, from graniteknot.Address, kind QueryKind, question []byte) (*part, error) {
 	var last error
-	for range partTries {
-		short, cancel := context.WithTimeout(ctx, partTime)
+	for range partAttempts {
+		short, cancel := context.WithTimeout(ctx, partTimeout)
 		body, err := s.Ask(short, from, kind, question)
 		cancel()
 		if ctx.Err() != nil {
@@ -160,7 +160,7 @@
 		if err := cbor.Unmarshal(body, out); err != nil {
 			return nil, err
 		}
-		if out.Total < 0 || out.Total > mostPacked || len(out.Bytes) > partSize {
+		if out.Total < 0 || out.Total > maxPackedBytes || len(out.Bytes) > partSize {
 			return nil, ErrMalformed
 		}
 		return out, nil
--- a/internal/core/presence/parts_test.go
+++ b/internal/core/presence/parts_test.go
@@ -18,8 +18,8 @@
 
 const partsKind presence.QueryKind = 90
 
-// records returns records that hardly pack, of so many bytes in all.
-func records(seed uint64, size int) []graniteknot.KeyedRecord {
+// randomRecords returns randomRecords that hardly pack, of so many bytes in all.
+func randomRecords(seed uint64, size int) []graniteknot.KeyedRecord {
 	value := make([]byte, size)
 	random := rand.New(rand.NewPCG(seed, seed))
 	for i := range value {
@@ -28,8 +28,8 @@
 	return []graniteknot.KeyedRecord{{Key: fmt.Sprint(seed), Value: value}}
 }
 
-// sockets opens two on a network in memory.
-func sockets(t *testing.T, n *network.Network) (asker, holder *presence.Socket) {
+// newSockets opens two on a network in memory.
+func newSockets(t *testing.T, n *network.Network) (asker, holder *presence.Socket) {
 	t.Helper()
 	open := func(a graniteknot.Address) *presence.Socket {
 		conn, err := n.ListenPacket(context.Background(), a)
@@ -41,19 +41,19 @@
 	return open("10.0.0.1:4"), open("10.0.0.2:4")
 }
 
-// TestRecordsThatChangeWhileTheyAreTaken takes records from a process that has others each few
+// TestFetchWhileRecordsChange takes records from a process that has others each few
 // milliseconds, and that others ask meanwhile: each taking gives one whole set.
-func TestRecordsThatChangeWhileTheyAreTaken(t *testing.T) {
+func TestFetchWhileRecordsChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := &network.Network{Delay: 2 * time.Millisecond}
-		asker, holder := sockets(t, n)
+		asker, holder := newSockets(t, n)
 		defer asker.Close()
 		defer holder.Close()
 		var edition atomic.Uint64
 		var shelf presence.PackCache
 		holder.HandleQueries(func(_ context.Context, _ presence.QueryKind, body []byte) ([]byte, error) {
 			return shelf.ServePart(body, func() (presence.PackedRecords, error) {
-				return presence.PackRecords(records(edition.Add(1), 20_000))
+				return presence.PackRecords(randomRecords(edition.Add(1), 20_000))
 			})
 		})
 		var askers group.Group
@@ -67,7 +67,7 @@
 					}
 					var seed uint64
 					_, _ = fmt.Sscan(got[0].Key, &seed)
-					if !bytes.Equal(got[0].Value, records(seed, 20_000)[0].Value) {
+					if !bytes.Equal(got[0].Value, randomRecords(seed, 20_000)[0].Value) {
 						t.Error("parts of several sets are mixed")
 					}
 				}
@@ -77,18 +77,18 @@
 	})
 }
 
-// TestManyPartsAreTakenSoon takes two megabytes over a way of 2 ms that loses some datagrams.
-func TestManyPartsAreTakenSoon(t *testing.T) {
+// TestFetchManyParts takes two megabytes over a way of 2 ms that loses some datagrams.
+func TestFetchManyParts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size, bound = 2_000_000, 4 * time.Second
 		n := &network.Network{Delay: time.Millisecond}
 		n.Lose(0.01, 1)
-		asker, holder := sockets(t, n)
+		asker, holder := newSockets(t, n)
 		defer asker.Close()
 		defer holder.Close()
 		var shelf presence.PackCache
 		holder.HandleQueries(func(_ context.Context, _ presence.QueryKind, body []byte) ([]byte, error) {
-			return shelf.ServePart(body, func() (presence.PackedRecords, error) { return presence.PackRecords(records(1, size)) })
+			return shelf.ServePart(body, func() (presence.PackedRecords, error) { return presence.PackRecords(randomRecords(1, size)) })
 		})
 		began := time.Now()
 		got, err := asker.Fetch(context.Background(), "10.0.0.2:4", partsKind)
--- a/internal/core/presence/ask.go
+++ b/internal/core/presence/query.go
@@ -36,42 +36,42 @@
 // ErrTooLarge is a question or an answer that does not fit into a datagram.
 var ErrTooLarge = errors.New("too large for a datagram")
 
-// tooLarge stands for ErrTooLarge in an answer.
-const tooLarge = "too large"
+// tooLargeError stands for ErrTooLarge in an answer.
+const tooLargeError = "too large"
 
-// asked are the questions that wait for their answers. The zero value has none.
-type asked struct {
+// pendingQueries are the questions that wait for their answers. The zero value has none.
+type pendingQueries struct {
 	mu      sync.Mutex
-	last    uint64
-	waiting map[uint64]chan *Reply
+	lastID  uint64
+	waiters map[uint64]chan *Reply
 }
 
-// begin returns a number for a question, and where its answer will come.
-func (a *asked) begin() (uint64, chan *Reply) {
+// add returns a number for a question, and where its answer will come.
+func (a *pendingQueries) add() (uint64, chan *Reply) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.waiting == nil {
-		a.waiting = map[uint64]chan *Reply{}
+	if a.waiters == nil {
+		a.waiters = map[uint64]chan *Reply{}
 	}
-	a.last++
+	a.lastID++
 	answer := make(chan *Reply, 1)
-	a.waiting[a.last] = answer
-	return a.last, answer
+	a.waiters[a.lastID] = answer
+	return a.lastID, answer
 }
 
-func (a *asked) end(number uint64) {
+func (a *pendingQueries) remove(number uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	delete(a.waiting, number)
+	delete(a.waiters, number)
 }
 
-// take hands an answer to who waits for it; one that nobody waits for, or that
+// deliver hands an answer to who waits for it; one that nobody waits for, or that
 // came twice, is dropped.
-func (a *asked) take(got *Reply) {
+func (a *pendingQueries) deliver(got *Reply) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if waiting := a.waiting[got.ID]; waiting != nil {
-		delete(a.waiting, got.ID)
+	if waiting := a.waiters[got.ID]; waiting != nil {
+		delete(a.waiters, got.ID)
 		waiting <- got
 	}
 }
@@ -82,14 +82,14 @@
 	if len(body) > MaxBodyBytes {
 		return nil, ErrTooLarge
 	}
-	number, waiting := s.asked.begin()
-	defer s.asked.end(number)
+	number, waiting := s.pending.add()
+	defer s.pending.remove(number)
 	s.Send(Message{Query: &Query{ID: number, Kind: kind, Body: body}}, []graniteknot.Address{to})
 	select {
 	case <-ctx.Done():
 		return nil, fmt.Errorf("ask %s: %w", to, ctx.Err())
 	case got := <-waiting:
-		if got.Error == tooLarge {
+		if got.Error == tooLargeError {
 			return nil, ErrTooLarge
 		}
 		if got.Error != "" {
@@ -102,12 +102,12 @@
 // HandleQueries has questions answered by a function, which is called once for each, in
 // a goroutine of its own. It is called before the first question comes.
 func (s *Socket) HandleQueries(answer func(context.Context, QueryKind, []byte) ([]byte, error)) {
-	s.answer.Store(&answer)
+	s.queryHandler.Store(&answer)
 }
 
-// respond answers a question.
-func (s *Socket) respond(q *Query, from netip.AddrPort) {
-	answer := s.answer.Load()
+// handleQuery answers a question.
+func (s *Socket) handleQuery(q *Query, from netip.AddrPort) {
+	answer := s.queryHandler.Load()
 	if answer == nil {
 		return
 	}
@@ -118,7 +118,7 @@
 		case err != nil:
 			out.Error = err.Error()
 		case len(body) > MaxBodyBytes:
-			out.Error = tooLarge
+			out.Error = tooLargeError
 		default:
 			out.Body = body
 		}
--- a/internal/core/presence/registrar.go
+++ b/internal/core/presence/registrar.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// registerRetry is the pause after a failed try to register.
-	registerRetry = 400 * time.Millisecond
-	// registerWait bounds how long a process waits for the records of former lives
+	// registerRetryDelay is the pause after a failed try to register.
+	registerRetryDelay = 400 * time.Millisecond
+	// registerMaxWait bounds how long a process waits for the records of former lives
 	// before it writes its own; it looks each registerStep.
-	registerWait = 400 * time.Millisecond
-	registerStep = 20 * time.Millisecond
-	// followWait is how long one read of the members waits for a change.
-	followWait = 20 * time.Second
-	// followPause gathers changes that come together, as at a start.
-	followPause = 500 * time.Millisecond
+	registerMaxWait      = 400 * time.Millisecond
+	registerPollInterval = 20 * time.Millisecond
+	// followPollWait is how long one read of the members waits for a change.
+	followPollWait = 20 * time.Second
+	// followReadPause gathers changes that come together, as at a start.
+	followReadPause = 500 * time.Millisecond
 )
 
 // Registrar writes a process into the store and follows the others.
@@ -48,16 +48,16 @@
 	// store; false when none answers. Nil where nobody does.
 	SyncFromPeer func(ctx context.Context) bool
 
-	// renewed is the era in which records are to be written again; 0 for none. Only the
+	// restoredEra is the era in which records are to be written again; 0 for none. Only the
 	// follower touches it.
-	renewed graniteknot.Era
-	// known tells that the store has a record that differs from the own one by the life
+	restoredEra graniteknot.Era
+	// recorded tells that the store has a record that differs from the own one by the life
 	// at most.
-	known atomic.Bool
-	// read tells that the records were read.
-	read atomic.Bool
-	// odd tells of records that can't be used.
-	odd eventlog.Sparse
+	recorded atomic.Bool
+	// recordsRead tells that the records were recordsRead.
+	recordsRead atomic.Bool
+	// malformed tells of records that can't be used.
+	malformed eventlog.Sparse
 }
 
 // Register writes the process into the store; it tries until it has an answer. A
@@ -69,10 +69,10 @@
 		r.Log.Warn("register", slog.String("error", err.Error()))
 		return
 	}
-	for began := time.Now(); !r.read.Load() && time.Since(began) < registerWait; {
-		delay.For(ctx, registerStep)
+	for began := time.Now(); !r.recordsRead.Load() && time.Since(began) < registerMaxWait; {
+		delay.For(ctx, registerPollInterval)
 	}
-	for ctx.Err() == nil && !r.known.Load() {
+	for ctx.Err() == nil && !r.recorded.Load() {
 		at, err := r.Store.Append(ctx, graniteknot.TopicMembers, graniteknot.KeyedRecord{Key: string(r.Self.Box), Value: value})
 		if err == nil {
 			r.View.SetOwnPosition(at)
@@ -80,7 +80,7 @@
 			return
 		}
 		// Registering twice is harmless.
-		timer := time.NewTimer(registerRetry)
+		timer := time.NewTimer(registerRetryDelay)
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
@@ -100,44 +100,44 @@
 	var again group.Group
 	defer again.Stop()
 	newest := func(records []graniteknot.KeyedRecord, began time.Time) {
-		r.take(records, began)
-		r.read.Store(true)
-		met(!r.known.Load())
-		if era := r.renewed; era != 0 {
-			r.renewed = 0
+		r.apply(records, began)
+		r.recordsRead.Store(true)
+		met(!r.recorded.Load())
+		if era := r.restoredEra; era != 0 {
+			r.restoredEra = 0
 			again.Go(func(ctx context.Context) { r.restore(ctx, era) })
 		}
 	}
 	follower := watch.Follower{
-		Store: r.Store, Topic: graniteknot.TopicMembers, Health: r.Health, Clock: r.Clock, PollWait: followWait, ReadPause: followPause,
-		OnNewest: newest, OnNext: r.take, OnFailure: func(error) { met(false) }, Revalidate: r.SyncFromPeer, RevalidateInterval: MemberSyncInterval,
-		OnRestore: func(era graniteknot.Era) { r.renewed = era },
+		Store: r.Store, Topic: graniteknot.TopicMembers, Health: r.Health, Clock: r.Clock, PollWait: followPollWait, ReadPause: followReadPause,
+		OnNewest: newest, OnNext: r.apply, OnFailure: func(error) { met(false) }, Revalidate: r.SyncFromPeer, RevalidateInterval: MemberSyncInterval,
+		OnRestore: func(era graniteknot.Era) { r.restoredEra = era },
 	}
 	follower.Run(ctx)
 }
 
-// own notes the own record, of this life or a former one.
-func (r *Registrar) own(m Member, at graniteknot.Position) {
+// handleOwnRecord notes the handleOwnRecord record, of this life or a former one.
+func (r *Registrar) handleOwnRecord(m Member, at graniteknot.Position) {
 	r.View.SetOwnPosition(at)
 	m.Incarnation = r.Self.Incarnation
 	if m == r.Self {
-		r.known.Store(true)
+		r.recorded.Store(true)
 	}
 }
 
-func (r *Registrar) take(records []graniteknot.KeyedRecord, _ time.Time) {
+func (r *Registrar) apply(records []graniteknot.KeyedRecord, _ time.Time) {
 	for _, record := range records {
 		if len(record.Value) == 0 {
 			r.View.Remove(graniteknot.BoxName(record.Key))
 			continue
 		}
-		m, err := memberOf(record)
+		m, err := decodeMember(record)
 		if err != nil {
-			r.odd.Warn(r.Log, "malformed member", record.Key, err.Error())
+			r.malformed.Warn(r.Log, "malformed member", record.Key, err.Error())
 			continue
 		}
 		if m.Box == r.Self.Box {
-			r.own(m, record.At)
+			r.handleOwnRecord(m, record.At)
 			continue
 		}
 		if !r.View.PutRecord(m, record.At, r.Clock.Now()) {
--- a/internal/core/presence/relay.go
+++ b/internal/core/presence/relay.go
@@ -27,13 +27,13 @@
 	BundleInterval = 200 * time.Millisecond
 	// RelayAnnounceInterval is how often a relay tells all others that it is one.
 	RelayAnnounceInterval = 800 * time.Millisecond
-	// relaySilence is how long a relay is told on that is not heard: two of its words
+	// relayTimeout is how long a relay is told on that is not heard: two of its words
 	// may be lost.
-	relaySilence = 2 * time.Second
-	// mostFrozen bounds for how long the view of a gateway that no relay tells anything
+	relayTimeout = 2 * time.Second
+	// maxFrozenView bounds for how long the view of a gateway that no relay tells anything
 	// stays as it is. Without it a gateway whose relays have both ended would soon take all
 	// others for dead, and all places of the engines for its own.
-	mostFrozen = 5 * time.Second
+	maxFrozenView = 5 * time.Second
 )
 
 // UpdateRelaying tells whether a gateway is a relay of its zone: whether it is among the
@@ -42,12 +42,12 @@
 func (v *View) UpdateRelaying(self Member, stays bool, now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.relaying = stays && v.gateways()+1 > MaxDirectGateways && v.first(self, now)
+	v.relaying = stays && v.countGateways()+1 > MaxDirectGateways && v.elected(self, now)
 	return v.relaying
 }
 
-// gateways counts the known ones; called with the lock held.
-func (v *View) gateways() int {
+// countGateways counts the known ones; called with the lock held.
+func (v *View) countGateways() int {
 	n := 0
 	for _, p := range v.peers {
 		if p.Role == RoleGateway {
@@ -57,27 +57,27 @@
 	return n
 }
 
-func (v *View) first(self Member, now time.Time) bool {
+func (v *View) elected(self Member, now time.Time) bool {
 	before := 0
 	for _, p := range v.peers {
 		// A relay is heard itself; what others say of it does not count.
-		silent := !p.relay.IsZero() && now.Sub(p.relay) > relaySilence
-		if p.Role == RoleGateway && p.Zone == self.Zone && p.Box != self.Box && !silent && v.alive(p, now) && order(p.Member, self) < 0 {
+		silent := !p.relayHeard.IsZero() && now.Sub(p.relayHeard) > relayTimeout
+		if p.Role == RoleGateway && p.Zone == self.Zone && p.Box != self.Box && !silent && v.isAlive(p, now) && compareRelayPriority(p.Member, self) < 0 {
 			before++
 		}
 	}
 	return before < relaysPerZone
 }
 
-// order says which of two gateways relays first.
-func order(a, b Member) int {
-	return cmp.Or(cmp.Compare(b.LinkRate, a.LinkRate), cmp.Compare(nameOf(a.Box), nameOf(b.Box)))
+// compareRelayPriority says which of two gateways relays first.
+func compareRelayPriority(a, b Member) int {
+	return cmp.Or(cmp.Compare(b.LinkRate, a.LinkRate), cmp.Compare(boxHash(a.Box), boxHash(b.Box)))
 }
 
-// nameOf is what bundles call a box by. Two boxes with the same would be taken for
+// boxHash is what bundles call a box by. Two boxes with the same would be taken for
 // alive as long as one of them is; of 370 boxes no two have it in 99,998 of 100,000
 // deployments.
-func nameOf(box graniteknot.BoxName) uint32 { return uint32(xxhash.Sum64String(string(box))) }
+func boxHash(box graniteknot.BoxName) uint32 { return uint32(xxhash.Sum64String(string(box))) }
 
 // DirectGateways returns where the gateways are to be told that are told directly, but for
 // one box: all in a small deployment, else the relays of each zone and all gateways
@@ -92,7 +92,7 @@
 			continue
 		}
 		all = append(all, p)
-		if !p.relay.IsZero() && now.Sub(p.relay) <= relaySilence {
+		if !p.relayHeard.IsZero() && now.Sub(p.relayHeard) <= relayTimeout {
 			relays = append(relays, p)
 			relayed[p.Zone] = true
 		}
@@ -135,39 +135,39 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.told = now
-	v.settings = max(v.settings, b.ConfigVersion, m.ConfigVersion)
+	v.lastBundle = now
+	v.configVersion = max(v.configVersion, b.ConfigVersion, m.ConfigVersion)
 	if p := v.peers[m.Box]; p != nil {
-		p.ready, p.heard, p.relay = m.Ready, now, now
-		v.setLost(p, m.StoreLost)
+		p.ready, p.lastHeard, p.relayHeard = m.Ready, now, now
+		v.setStoreLost(p, m.StoreLost)
 	}
 	named := make(map[uint32]*peer, len(v.peers))
 	for _, p := range v.peers {
 		if p.Role == RoleGateway {
-			named[nameOf(p.Box)] = p
+			named[boxHash(p.Box)] = p
 		}
 	}
 	for _, name := range b.Ready {
 		if p := named[name]; p != nil {
-			p.ready, p.heard = true, now
-			v.setLost(p, slices.Contains(b.StoreLost, name))
+			p.ready, p.lastHeard = true, now
+			v.setStoreLost(p, slices.Contains(b.StoreLost, name))
 		}
 	}
 	for _, name := range b.Unready {
 		if p := named[name]; p != nil {
-			p.ready, p.heard = false, now
-			v.setLost(p, slices.Contains(b.StoreLost, name))
+			p.ready, p.lastHeard = false, now
+			v.setStoreLost(p, slices.Contains(b.StoreLost, name))
 		}
 	}
 }
 
-// alive tells whether a member was heard of late. While nothing at all is heard from
+// isAlive tells whether a member was heard of late. While nothing at all is heard from
 // relays, that is the time at which something last was; called with the lock held.
-func (v *View) alive(p *peer, now time.Time) bool {
-	if !v.told.IsZero() && now.Sub(v.told) < mostFrozen {
-		now = earlier(now, v.told.Add(2*BundleInterval))
+func (v *View) isAlive(p *peer, now time.Time) bool {
+	if !v.lastBundle.IsZero() && now.Sub(v.lastBundle) < maxFrozenView {
+		now = earlier(now, v.lastBundle.Add(2*BundleInterval))
 	}
-	return now.Sub(p.heard) < silence
+	return now.Sub(p.lastHeard) < heartbeatTimeout
 }
 
 func earlier(a, b time.Time) time.Time {
--- a/internal/core/presence/relay_test.go
+++ b/internal/core/presence/relay_test.go
@@ -42,8 +42,8 @@
 	gateways []*process
 	sidecars []*process
 	random   *rand.Rand
-	// lost is the part of datagrams that are lost.
-	lost float64
+	// lossRate is the part of datagrams that are lossRate.
+	lossRate float64
 }
 
 func newDeployment(t *testing.T, gateways, sidecars int) *deployment {
@@ -89,7 +89,7 @@
 	}
 	for _, a := range to {
 		p := d.all[a]
-		if p == nil || p.dead || d.random.Float64() < d.lost {
+		if p == nil || p.dead || d.random.Float64() < d.lossRate {
 			continue
 		}
 		p.datagrams++
@@ -98,11 +98,11 @@
 		if err := cbor.Unmarshal(text, got); err != nil {
 			d.t.Fatal(err)
 		}
-		d.take(p, got)
+		d.deliver(p, got)
 	}
 }
 
-func (d *deployment) take(p *process, m *presence.Message) {
+func (d *deployment) deliver(p *process, m *presence.Message) {
 	if m.Bundle != nil {
 		p.view.ApplyBundle(m, d.now)
 		for i := range m.Bundle.Reports {
@@ -123,7 +123,7 @@
 	for end := d.now.Add(span); d.now.Before(end); {
 		d.now = d.now.Add(tick)
 		for _, p := range d.gateways {
-			d.gateway(p)
+			d.stepGateway(p)
 		}
 		for _, p := range d.sidecars {
 			if !p.dead {
@@ -134,7 +134,7 @@
 	}
 }
 
-func (d *deployment) gateway(p *process) {
+func (d *deployment) stepGateway(p *process) {
 	if p.dead {
 		return
 	}
@@ -157,9 +157,9 @@
 	d.send(p, &presence.Message{Ready: true, Relay: p.relaying, Self: &self, ConfigVersion: 5}, to)
 }
 
-// check tells what every living gateway knows: how many others live, and how old the
+// checkGateways tells what every living gateway knows: how many others live, and how old the
 // oldest report is.
-func (d *deployment) check(what string, alive, reports int, oldest time.Duration) {
+func (d *deployment) checkGateways(what string, alive, reports int, oldest time.Duration) {
 	d.t.Helper()
 	for _, p := range d.gateways {
 		if p.dead {
@@ -185,7 +185,7 @@
 func TestRelays(t *testing.T) {
 	d := newDeployment(t, 149, 129)
 	d.run(4 * time.Second)
-	d.lost = 0.01
+	d.lossRate = 0.01
 	d.run(2 * time.Second)
 	relays := map[graniteknot.AvailabilityZone]int{}
 	for _, p := range d.gateways {
@@ -201,7 +201,7 @@
 	}
 	const seconds = 4
 	d.run(seconds * time.Second)
-	d.check("calm", 148, 129, time.Second)
+	d.checkGateways("calm", 148, 129, time.Second)
 	for _, p := range d.gateways {
 		// Told directly, each takes in 55 KB a second in 700 datagrams, without their heads.
 		if !p.relaying && (p.bytes > seconds*40_000 || p.datagrams > seconds*100) {
@@ -210,10 +210,10 @@
 	}
 }
 
-// TestRelaysEnd ends one relay of a zone, which costs nothing, and then both of
+// TestRelayFailure ends one relay of a zone, which costs nothing, and then both of
 // another zone at once: for a while its gateways keep to what they know, and then
 // others relay.
-func TestRelaysEnd(t *testing.T) {
+func TestRelayFailure(t *testing.T) {
 	d := newDeployment(t, 40, 30)
 	d.run(4 * time.Second)
 	end := func(zone graniteknot.AvailabilityZone, most int) {
@@ -237,7 +237,7 @@
 		}
 	}
 	d.run(2 * time.Second)
-	d.check("after one relay's end", 38, 30, time.Second)
+	d.checkGateways("after one relay's end", 38, 30, time.Second)
 	end("b", 2)
 	for range 8 {
 		d.run(500 * time.Millisecond)
@@ -248,14 +248,14 @@
 		}
 	}
 	d.run(2 * time.Second)
-	d.check("after both relays' end", 36, 30, time.Second)
+	d.checkGateways("after both relays' end", 36, 30, time.Second)
 }
 
 // TestSmallDeploymentsHaveNoRelays tells each of a dozen gateways directly.
 func TestSmallDeploymentsHaveNoRelays(t *testing.T) {
 	d := newDeployment(t, 12, 12)
 	d.run(3 * time.Second)
-	d.check("calm", 11, 12, 500*time.Millisecond)
+	d.checkGateways("calm", 11, 12, 500*time.Millisecond)
 	for _, p := range d.gateways {
 		if p.relaying {
 			t.Errorf("%s relays", p.Box)
--- a/internal/core/presence/restore_test.go
+++ b/internal/core/presence/restore_test.go
@@ -33,12 +33,12 @@
 		x := &presence.Registrar{Store: &r.store, Self: self, View: view, Health: &watch.Health{}}
 		r.run.Go(x.Register)
 		r.run.Go(x.Follow)
-		r.run.Go(func(ctx context.Context) { r.hellos(ctx, view) })
+		r.run.Go(func(ctx context.Context) { r.sendHeartbeats(ctx, view) })
 	}
 }
 
-// hellos keeps all that a view knows alive.
-func (r *registry) hellos(ctx context.Context, v *presence.View) {
+// sendHeartbeats keeps all that a view knows alive.
+func (r *registry) sendHeartbeats(ctx context.Context, v *presence.View) {
 	for ctx.Err() == nil {
 		time.Sleep(presence.HeartbeatInterval)
 		for _, role := range []presence.Role{presence.RoleGateway, presence.RoleSidecar} {
@@ -49,8 +49,8 @@
 	}
 }
 
-// recorded counts the members that the store has a record of.
-func (r *registry) recorded(t *testing.T) int {
+// countRecords counts the members that the store has a record of.
+func (r *registry) countRecords(t *testing.T) int {
 	t.Helper()
 	page, err := r.store.Newest(context.Background(), graniteknot.TopicMembers)
 	if err != nil {
@@ -59,10 +59,10 @@
 	return len(page.Records)
 }
 
-// TestDrillCostsFewCalls has the store come back from a copy without a fifth of 60 processes,
+// TestRestoreCostsFewCalls has the store come back from a copy without a fifth of 60 processes,
 // twice in a row: all have records again within 5 s, and the calls of each drill are no more
 // than twice those of a store that forgets its history, after which all read anew as well.
-func TestDrillCostsFewCalls(t *testing.T) {
+func TestRestoreCostsFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const gateways, sidecars, late, settled = 12, 36, 12, 10 * time.Second
 		r := &registry{}
@@ -83,7 +83,7 @@
 		reconnect := calls(func() { r.store.Trim(graniteknot.TopicMembers) }, settled) - quiet
 		for drill := range 2 {
 			cost := calls(func() { r.store.Restore(dated) }, settled) - quiet
-			if n := r.recorded(t); n != gateways+sidecars+late {
+			if n := r.countRecords(t); n != gateways+sidecars+late {
 				t.Errorf("drill %d: %d of %d processes have a record", drill, n, gateways+sidecars+late)
 			}
 			t.Logf("drill %d: %d calls, a reconnect %d, quiet %d", drill, cost, reconnect, quiet)
--- a/internal/core/presence/socket.go
+++ b/internal/core/presence/socket.go
@@ -12,8 +12,8 @@
 	"graniteknot.org/go/internal/hostnet"
 )
 
-// largest is the largest datagram that is read.
-const largest = 2048
+// maxDatagram is the maxDatagram datagram that is read.
+const maxDatagram = 2048
 
 // Socket sends and takes datagrams. Make it with Listen.
 type Socket struct {
@@ -25,16 +25,16 @@
 	// sent and received count bytes of datagrams.
 	sent, received atomic.Uint64
 	group          group.Group
-	// asked are the own questions; answer answers others'.
-	asked  asked
-	answer atomic.Pointer[func(context.Context, QueryKind, []byte) ([]byte, error)]
+	// pending are the own questions; answer answers others'.
+	pending      pendingQueries
+	queryHandler atomic.Pointer[func(context.Context, QueryKind, []byte) ([]byte, error)]
 
-	// odd tells of datagrams that can't be read.
-	odd eventlog.Sparse
+	// malformed tells of datagrams that can't be read.
+	malformed eventlog.Sparse
 
 	mu sync.Mutex
-	// parsed keeps addresses that were parsed.
-	parsed map[graniteknot.Address]netip.AddrPort
+	// parsedAddresses keeps addresses that were parsedAddresses.
+	parsedAddresses map[graniteknot.Address]netip.AddrPort
 }
 
 // Listen opens a socket on the machine's own network and hands each datagram to take.
@@ -48,13 +48,13 @@
 
 // NewSocket returns a socket that hands each datagram of a connection to take.
 func NewSocket(conn graniteknot.PacketConn, box graniteknot.BoxName, born graniteknot.Incarnation, log *eventlog.Log, take func(*Message)) *Socket {
-	s := &Socket{box: box, born: born, conn: conn, parsed: map[graniteknot.Address]netip.AddrPort{}}
+	s := &Socket{box: box, born: born, conn: conn, parsedAddresses: map[graniteknot.Address]netip.AddrPort{}}
 	s.group.Go(func(context.Context) { s.read(log, take) })
 	return s
 }
 
 func (s *Socket) read(log *eventlog.Log, take func(*Message)) {
-	buffer := make([]byte, largest)
+	buffer := make([]byte, maxDatagram)
 	for {
 		n, from, err := s.conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
@@ -63,14 +63,14 @@
 		s.received.Add(uint64(n))
 		m, err := decode(buffer[:n])
 		if err != nil {
-			s.odd.Warn(log, "malformed datagram", from.Addr().String(), err.Error())
+			s.malformed.Warn(log, "malformed datagram", from.Addr().String(), err.Error())
 			continue
 		}
 		switch {
 		case m.Query != nil:
-			s.respond(m.Query, from)
+			s.handleQuery(m.Query, from)
 		case m.Reply != nil:
-			s.asked.take(m.Reply)
+			s.pending.deliver(m.Reply)
 		default:
 			take(m)
 		}
@@ -111,14 +111,14 @@
 func (s *Socket) parse(a graniteknot.Address) (netip.AddrPort, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if found, ok := s.parsed[a]; ok {
+	if found, ok := s.parsedAddresses[a]; ok {
 		return found, true
 	}
 	parsed, err := netip.ParseAddrPort(string(a))
 	if err != nil {
 		return parsed, false
 	}
-	s.parsed[a] = parsed
+	s.parsedAddresses[a] = parsed
 	return parsed, true
 }
 
--- a/internal/core/presence/view.go
+++ b/internal/core/presence/view.go
@@ -17,35 +17,35 @@
 const (
 	// HeartbeatInterval is the time between two datagrams of a gateway to another.
 	HeartbeatInterval = 400 * time.Millisecond
-	// silence is how long a member that was heard may be silent and still be
+	// heartbeatTimeout is how long a member that was heard may be silent and still be
 	// taken for alive: three datagrams and a bit.
-	silence = 1500 * time.Millisecond
-	// newcomer is how long a member counts as alive that was never heard.
-	newcomer = time.Second
+	heartbeatTimeout = 1500 * time.Millisecond
+	// firstHeartbeatTimeout is how long a member counts as alive that was never heard.
+	firstHeartbeatTimeout = time.Second
 )
 
 // View is what a process knows of the members. The zero value is empty.
 type View struct {
 	mu    sync.Mutex
 	peers map[graniteknot.BoxName]*peer
-	// settings is the newest version of the configuration that a member said it
+	// configVersion is the newest version of the configuration that a member said it
 	// has. It never falls, since versions do not.
-	settings uint64
-	// told is when a relay last told something, or this relay was; zero for never.
-	told time.Time
-	// lostChanges counts the changes of what members say of the store.
-	lostChanges uint64
+	configVersion uint64
+	// lastBundle is when a relay last lastBundle something, or this relay was; zero for never.
+	lastBundle time.Time
+	// storeLostChanges counts the changes of what members say of the store.
+	storeLostChanges uint64
 	// relaying tells that this process is a relay.
 	relaying bool
-	// registered is the position of the own record; nil before it is written.
-	registered *graniteknot.Position
+	// ownPosition is the position of the own record; nil before it is written.
+	ownPosition *graniteknot.Position
 }
 
 // SetOwnPosition notes the position of the own record.
 func (v *View) SetOwnPosition(at graniteknot.Position) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.registered = &at
+	v.ownPosition = &at
 }
 
 // NewestConfigVersion returns the newest version of the configuration that any other
@@ -53,7 +53,7 @@
 func (v *View) NewestConfigVersion() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.settings
+	return v.configVersion
 }
 
 // Put takes in what a member tells of itself. It returns false when the life is
@@ -62,9 +62,9 @@
 func (v *View) Put(m Member, now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	at := unrecorded
+	at := unknownPosition
 	if old := v.peers[m.Box]; old != nil {
-		at = old.at
+		at = old.position
 	}
 	return v.put(m, at, now)
 }
@@ -74,7 +74,7 @@
 func (v *View) PutRecord(m Member, at graniteknot.Position, now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if old := v.peers[m.Box]; old != nil && at <= old.at {
+	if old := v.peers[m.Box]; old != nil && at <= old.position {
 		return false
 	}
 	return v.put(m, at, now)
@@ -85,11 +85,11 @@
 		v.peers = map[graniteknot.BoxName]*peer{}
 	}
 	if old := v.peers[m.Box]; old != nil && old.Incarnation == m.Incarnation {
-		old.at = at
+		old.position = at
 		return false
 	}
 	// A new member counts as ready until its first datagram is due.
-	v.peers[m.Box] = &peer{Member: m, at: at, ready: true, heard: now.Add(newcomer - silence)}
+	v.peers[m.Box] = &peer{Member: m, position: at, ready: true, lastHeard: now.Add(firstHeartbeatTimeout - heartbeatTimeout)}
 	return true
 }
 
@@ -98,16 +98,16 @@
 func (v *View) Digest(self Member) uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	out := lifeOf(&self)
+	out := incarnationHash(&self)
 	for _, p := range v.peers {
 		if p.Box != self.Box {
-			out ^= lifeOf(&p.Member)
+			out ^= incarnationHash(&p.Member)
 		}
 	}
 	return out
 }
 
-func lifeOf(m *Member) uint64 {
+func incarnationHash(m *Member) uint64 {
 	return xxhash.Sum64String(string(m.Box) + "\x00" + strconv.FormatUint(uint64(m.Incarnation), 10))
 }
 
@@ -116,9 +116,9 @@
 func (v *View) records(self Member) []graniteknot.KeyedRecord {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	own := peer{Member: self, at: unrecorded}
-	if v.registered != nil {
-		own.at = *v.registered
+	own := peer{Member: self, position: unknownPosition}
+	if v.ownPosition != nil {
+		own.position = *v.ownPosition
 	}
 	all := map[graniteknot.BoxName]peer{self.Box: own}
 	for box, p := range v.peers {
@@ -130,7 +130,7 @@
 	for _, box := range slices.Sorted(maps.Keys(all)) {
 		p := all[box]
 		if value, err := json.Marshal(p.Member); err == nil {
-			out = append(out, graniteknot.KeyedRecord{Key: string(box), Value: value, At: p.at})
+			out = append(out, graniteknot.KeyedRecord{Key: string(box), Value: value, At: p.position})
 		}
 	}
 	return out
@@ -151,20 +151,20 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.settings = max(v.settings, m.ConfigVersion)
+	v.configVersion = max(v.configVersion, m.ConfigVersion)
 	p := v.peers[m.Box]
 	if p == nil {
 		return fresh
 	}
-	p.ready, p.heard, p.relay = m.Ready, now, time.Time{}
+	p.ready, p.lastHeard, p.relayHeard = m.Ready, now, time.Time{}
 	if m.Self != nil {
-		v.setLost(p, m.StoreLost)
+		v.setStoreLost(p, m.StoreLost)
 	}
 	if m.Relay {
-		p.relay = now
+		p.relayHeard = now
 	}
 	if v.relaying && p.Role == RoleGateway {
-		v.told = now
+		v.lastBundle = now
 	}
 	return fresh
 }
@@ -201,14 +201,14 @@
 // ReadyMembers returns the members of a role that were heard of late and are ready,
 // but for one box, ordered by name.
 func (v *View) ReadyMembers(role Role, but graniteknot.BoxName, now time.Time) []Member {
-	return v.members(role, but, func(p *peer) bool { return p.ready && v.alive(p, now) })
+	return v.members(role, but, func(p *peer) bool { return p.ready && v.isAlive(p, now) })
 }
 
-// setLost notes whether the store answers a member; called with the lock held.
-func (v *View) setLost(p *peer, lost bool) {
-	if p.lost != lost {
-		p.lost = lost
-		v.lostChanges++
+// setStoreLost notes whether the store answers a member; called with the lock held.
+func (v *View) setStoreLost(p *peer, lost bool) {
+	if p.storeLost != lost {
+		p.storeLost = lost
+		v.storeLostChanges++
 	}
 }
 
@@ -216,7 +216,7 @@
 func (v *View) StoreLostChanges() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.lostChanges
+	return v.storeLostChanges
 }
 
 // StoreLost tells whether a member said that the store does not answer it.
@@ -224,11 +224,11 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	p := v.peers[box]
-	return p != nil && p.lost
+	return p != nil && p.storeLost
 }
 
 // AliveMembers returns the members of a role that were heard of late, ready or not, but for
 // one box, ordered by name.
 func (v *View) AliveMembers(role Role, but graniteknot.BoxName, now time.Time) []Member {
-	return v.members(role, but, func(p *peer) bool { return v.alive(p, now) })
+	return v.members(role, but, func(p *peer) bool { return v.isAlive(p, now) })
 }
--- a/internal/core/presence/view_test.go
+++ b/internal/core/presence/view_test.go
@@ -27,9 +27,9 @@
 	return out
 }
 
-// TestAlive counts a newcomer for a second, one that was heard for a second and
+// TestReadyMembers counts a newcomer for a second, one that was heard for a second and
 // a half, and one that says that it is not ready not at all.
-func TestAlive(t *testing.T) {
+func TestReadyMembers(t *testing.T) {
 	var v presence.View
 	now := time.Now()
 	v.Put(member("a", 1), now)
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestHeardMakesKnown lets a datagram introduce its sender, and a new life take
+// TestMessageIntroducesSender lets a datagram introduce its sender, and a new life take
 // the place of the former one whatever number it has.
-func TestHeardMakesKnown(t *testing.T) {
+func TestMessageIntroducesSender(t *testing.T) {
 	var v presence.View
 	now := time.Now()
 	self := member("a", 9)
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -120,8 +120,8 @@
 		Package: "internal/core/gateway", Test: "TestRevokedKeyAcrossADrill", Says: "too old to be trusted",
 	},
 	{
-		Name: "own records are not written again", File: "internal/core/presence/registrar.go",
-		Old: "if era := r.renewed; era != 0 {", New: "if era := r.renewed; false {",
+		Name: "own records are not rewritten after a store restore", File: "internal/core/presence/registrar.go",
+		Old: "if era := r.restoredEra; era != 0 {", New: "if era := r.restoredEra; false {",
 		Package: "internal/core/gateway", Test: "TestOwnRecordsAreWrittenAgain", Says: "the process has a record again",
 	},
 	{
@@ -206,9 +206,9 @@
 		Package: "internal/core/gateway", Test: "TestVersionsAreInForceInTimeThoughReadersAreTurnedAway", Says: "came into force",
 	},
 	{
-		Name: "parts are of the newest records", File: "internal/core/presence/shelf.go",
+		Name: "parts of a superseded record set are served from the newest one", File: "internal/core/presence/pack_cache.go",
 		Old: "if digest == 0 {", New: "if digest != 0 || len(s.packs) > 0 {",
-		Package: "internal/core/presence", Test: "TestRecordsThatChangeWhileTheyAreTaken", Says: "malformed",
+		Package: "internal/core/presence", Test: "TestFetchWhileRecordsChange", Says: "malformed",
 	},
 	{
 		Name: "a gateway that is behind refuses", File: "internal/core/gateway/refusal.go",
