--- a/internal/core/presence/bundle.go
+++ b/internal/core/presence/bundle.go
@@ -10,42 +10,44 @@
 	"graniteknot.org/go/catalog"
 )
 
-// Bundle is what a relay heard since its last one, for the gateways of its zone.
+// Bundle is what a relay received since its last bundle, forwarded to the gateways of its
+// zone.
 type Bundle struct {
-	// Reports are of replicas, Forecasts what their groups' keepers foretold.
+	// Reports are the replicas' load reports, Forecasts the forecasts of the keepers of their
+	// groups.
 	Reports   []RelayedReport `cbor:"1,keyasint,omitempty"`
 	Forecasts []Forecast      `cbor:"2,keyasint,omitempty"`
-	// Ready and Unready name gateways that were heard.
+	// Ready and Unready are the hashes of the gateways that sent a datagram.
 	Ready   []uint32 `cbor:"3,keyasint,omitempty"`
 	Unready []uint32 `cbor:"4,keyasint,omitempty"`
-	// Joined describes gateways that are new.
+	// Joined describes new gateways.
 	Joined []Member `cbor:"5,keyasint,omitempty"`
-	// ConfigVersion is the newest version of the configuration that any of them has.
+	// ConfigVersion is the newest configuration version that any of them has.
 	ConfigVersion uint64 `cbor:"6,keyasint,omitempty"`
-	// StoreLost names those of the gateways heard that the store does not answer.
+	// StoreLost are the hashes of those of these gateways that can't reach the store.
 	StoreLost []uint32 `cbor:"7,keyasint,omitempty"`
 }
 
-// RelayedReport is a digest as a relay passes it on.
+// RelayedReport is a LoadReport as a relay forwards it.
 type RelayedReport struct {
 	_       struct{} `cbor:",toarray"`
 	Target  netip.AddrPort
 	Running int
 	Waiting int
-	// PassMicros is in microseconds, as Digest's.
+	// PassMicros is LoadReport's.
 	PassMicros int64
-	// AgeMillis is how long before the bundle the digest came, in milliseconds.
+	// AgeMillis is how long before the bundle the report arrived.
 	AgeMillis int64
-	// Pace is in hundredths; 0 is unknown.
+	// Pace is LoadReport's in hundredths; 0 is unknown.
 	Pace      int
 	GroupOpen bool
-	// ForecastIndex is the place of the replica's forecast in the bundle, and 1; 0 is none.
+	// ForecastIndex is the index of the replica's forecast in the bundle, plus 1; 0 is none.
 	ForecastIndex int
-	// LifeMark is Digest's.
+	// LifeMark is LoadReport's.
 	LifeMark catalog.Mark
 }
 
-// Forecast is a keeper's forecast as a relay passes it on.
+// Forecast is a keeper's forecast as a relay forwards it; see LoadReport.
 type Forecast struct {
 	_        struct{} `cbor:",toarray"`
 	Skew     float32
@@ -54,24 +56,24 @@
 }
 
 const (
-	// maxReportsPerBundle is how many reports a bundle holds, of at most 30 bytes each, so that
-	// it fits into a packet.
+	// maxReportsPerBundle keeps a bundle within a packet: a report takes at most 30 bytes.
 	maxReportsPerBundle = 40
-	// maxNamesPerBundle and mostJoined bound the rest of a bundle in the same way.
-	maxNamesPerBundle  = 150
-	maxJoinedPerBundle = 5
-	// newMemberPeriod is how long a gateway is new.
+	// maxGatewaysPerBundle and maxJoinedPerBundle bound the other entries of a bundle likewise.
+	maxGatewaysPerBundle = 150
+	maxJoinedPerBundle   = 5
+	// newMemberPeriod is for how long bundles repeat the description of a new gateway.
 	newMemberPeriod = 2 * time.Second
-	paceScale       = 100
+	// paceScale is the number of units of a RelayedReport's pace in 1.
+	paceScale = 100
 )
 
-// Bundler collects what a relay hears. The zero value is empty.
+// Bundler collects what a relay forwards. The zero value is empty.
 type Bundler struct {
 	mu        sync.Mutex
 	reports   map[graniteknot.Address]receivedReport
 	ready     map[graniteknot.BoxName]bool
 	storeLost map[graniteknot.BoxName]bool
-	// joined are gateways that are new, since when.
+	// joined are the described gateways, with the time at which each became known.
 	joined        map[graniteknot.BoxName]newMember
 	configVersion uint64
 }
@@ -86,7 +88,7 @@
 	since  time.Time
 }
 
-// Add takes in a message from another process.
+// Add records a message from another process.
 func (b *Bundler) Add(m *Message, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -115,7 +117,7 @@
 	}
 }
 
-// Flush returns what was heard since the last call.
+// Flush returns bundles of what was recorded since the last call.
 func (b *Bundler) Flush(now time.Time) []Bundle {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -131,27 +133,27 @@
 		if b.storeLost[box] {
 			rest.StoreLost = append(rest.StoreLost, boxHash(box))
 		}
-		if len(rest.Ready)+len(rest.Unready)+len(rest.StoreLost) >= maxNamesPerBundle {
+		if len(rest.Ready)+len(rest.Unready)+len(rest.StoreLost) >= maxGatewaysPerBundle {
 			out, rest = append(out, rest), Bundle{ConfigVersion: b.configVersion}
 		}
 	}
 	out = append(out, rest)
-	for some := range slices.Chunk(b.recentlyJoined(now), maxJoinedPerBundle) {
-		out = append(out, Bundle{Joined: some})
+	for members := range slices.Chunk(b.recentlyJoined(now), maxJoinedPerBundle) {
+		out = append(out, Bundle{Joined: members})
 	}
 	clear(b.reports)
 	clear(b.ready)
 	return out
 }
 
-// reportBundles returns bundles of the replicas' reports; called with the lock held.
+// reportBundles returns bundles of load reports. The caller holds b.mu.
 func (b *Bundler) reportBundles(now time.Time) []Bundle {
 	var out []Bundle
 	var one Bundle
 	for _, h := range b.reports {
 		target, err := netip.ParseAddrPort(string(h.report.Target))
 		if err != nil {
-			// Nobody can be sent requests there.
+			// No request can be sent to an address that does not parse.
 			continue
 		}
 		one.Reports = append(one.Reports, RelayedReport{
@@ -169,12 +171,13 @@
 	return out
 }
 
-// forecastIndex returns the place of a digest's forecastIndex, and 1.
-func (b *Bundle) forecastIndex(d *LoadReport) int {
-	if d.ForecastSequence == 0 {
+// forecastIndex returns the index of a report's forecast in the bundle plus 1, and adds the
+// forecast if needed; 0 if the report has none.
+func (b *Bundle) forecastIndex(r *LoadReport) int {
+	if r.ForecastSequence == 0 {
 		return 0
 	}
-	f := Forecast{Skew: d.Skew, Loading: d.Loading, Sequence: d.ForecastSequence}
+	f := Forecast{Skew: r.Skew, Loading: r.Loading, Sequence: r.ForecastSequence}
 	at := slices.Index(b.Forecasts, f)
 	if at < 0 {
 		at = len(b.Forecasts)
@@ -183,21 +186,20 @@
 	return at + 1
 }
 
-// LoadReport returns a report as its sidecar told it.
+// LoadReport returns a relayed report as its sidecar sent it.
 func (b *Bundle) LoadReport(r *RelayedReport) LoadReport {
-	d := LoadReport{
+	out := LoadReport{
 		Target: graniteknot.Address(r.Target.String()), Running: r.Running, Waiting: r.Waiting, PassMicros: r.PassMicros,
 		Pace: float32(r.Pace) / paceScale, GroupOpen: r.GroupOpen, LifeMark: r.LifeMark,
 	}
 	if at := r.ForecastIndex - 1; at >= 0 && at < len(b.Forecasts) {
 		f := b.Forecasts[at]
-		d.Skew, d.Loading, d.ForecastSequence = f.Skew, f.Loading, f.Sequence
+		out.Skew, out.Loading, out.ForecastSequence = f.Skew, f.Loading, f.Sequence
 	}
-	return d
+	return out
 }
 
-// recentlyJoined returns the gateways that are recentlyJoined, in order of their names; called with the lock
-// held.
+// recentlyJoined returns the new gateways in relay priority order. The caller holds b.mu.
 func (b *Bundler) recentlyJoined(now time.Time) []Member {
 	var out []Member
 	for _, j := range b.joined {
--- a/internal/core/presence/doc.go
+++ b/internal/core/presence/doc.go
@@ -1,5 +1,4 @@
-// Package presence lets the processes of the system know each other: each writes
-// itself into the platform's store once, and tells the others by datagrams that
-// it lives, what it is ready for, and how busy its replica is. What follows from
-// that is left to the callers.
+// Package presence implements membership: each process registers once in the platform's
+// store and reports to the others by datagrams that it is alive, whether it is ready and how
+// loaded its replica is. Callers decide what follows from that.
 package presence
--- a/internal/core/presence/fuzz_test.go
+++ b/internal/core/presence/fuzz_test.go
@@ -13,31 +13,32 @@
 	"graniteknot.org/go/internal/standin/network"
 )
 
-// deliver sends bytes to a socket and returns once they were read.
-func deliver(t *testing.T, body []byte, take func(*presence.Message)) {
+// deliver sends a datagram to a socket and returns once it was read. A second datagram, from
+// the box "last", marks the end.
+func deliver(t *testing.T, body []byte, handle func(*presence.Message)) {
 	t.Helper()
 	var n network.Network
 	conn, err := n.ListenPacket(context.Background(), "10.0.0.3:4")
 	if err != nil {
 		t.Fatal(err)
 	}
-	last, got := make(chan struct{}), presence.Message{ConfigVersion: 1}
-	taker, err := n.ListenPacket(context.Background(), "10.0.0.4:4")
+	last, marker := make(chan struct{}), presence.Message{ConfigVersion: 1}
+	receiver, err := n.ListenPacket(context.Background(), "10.0.0.4:4")
 	if err != nil {
 		t.Fatal(err)
 	}
-	socket := presence.NewSocket(taker, "taker", 1, nil, func(m *presence.Message) {
+	socket := presence.NewSocket(receiver, "receiver", 1, nil, func(m *presence.Message) {
 		if m.Box == "last" {
 			close(last)
 			return
 		}
-		take(m)
+		handle(m)
 	})
 	defer socket.Close()
 	to := netip.MustParseAddrPort("10.0.0.4:4")
 	_, _ = conn.WriteToUDPAddrPort(body, to)
-	got.Box = "last"
-	end, err := cbor.Marshal(&got)
+	marker.Box = "last"
+	end, err := cbor.Marshal(&marker)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,7 +46,7 @@
 	<-last
 }
 
-// FuzzDatagram has a process read any datagram, take in what it says and pass it on.
+// FuzzDatagram decodes arbitrary datagrams, applies them to a view and relays them.
 func FuzzDatagram(f *testing.F) {
 	member := presence.Member{Box: "b", Role: presence.RoleGateway, Zone: "z", PeerAddress: "10.0.0.9:4", Incarnation: 3}
 	load := presence.LoadReport{Target: "10.0.0.8:80", Running: 2, GroupOpen: true, Skew: 1.2, ForecastSequence: 4}
@@ -83,7 +84,7 @@
 			bundler.Add(m, now)
 			for _, b := range bundler.Flush(now) {
 				if out, err := cbor.Marshal(&presence.Message{Bundle: &b}); err != nil || len(out) > largest {
-					t.Errorf("a bundle of %d bytes: %v", len(out), err)
+					t.Errorf("bundle of %d bytes: %v", len(out), err)
 				}
 			}
 		})
@@ -92,14 +93,14 @@
 	})
 }
 
-// FuzzParts takes records from a process that answers with any bytes.
+// FuzzParts fetches records from a process that replies with arbitrary bytes.
 func FuzzParts(f *testing.F) {
 	packed, err := presence.PackRecords([]graniteknot.KeyedRecord{{Key: "k", Value: []byte("v")}})
 	if err != nil {
 		f.Fatal(err)
 	}
-	var shelf presence.PackCache
-	first, err := shelf.ServePart([]byte{0}, func() (presence.PackedRecords, error) { return packed, nil })
+	var cache presence.PackCache
+	first, err := cache.ServePart([]byte{0}, func() (presence.PackedRecords, error) { return packed, nil })
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -107,10 +108,10 @@
 	f.Add([]byte("\xa0"), []byte{})
 	f.Fuzz(func(t *testing.T, first, next []byte) {
 		var n network.Network
-		asker, holder := newSockets(t, &n)
-		defer asker.Close()
-		defer holder.Close()
-		holder.HandleQueries(func(_ context.Context, _ presence.QueryKind, body []byte) ([]byte, error) {
+		client, server := newSockets(t, &n)
+		defer client.Close()
+		defer server.Close()
+		server.HandleQueries(func(_ context.Context, _ presence.QueryKind, body []byte) ([]byte, error) {
 			if len(body) == 1 {
 				return first, nil
 			}
@@ -118,6 +119,6 @@
 		})
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		_, _ = asker.Fetch(ctx, "10.0.0.2:4", partsKind)
+		_, _ = client.Fetch(ctx, "10.0.0.2:4", partsKind)
 	})
 }
--- a/internal/core/presence/member_sync.go
+++ b/internal/core/presence/member_sync.go
@@ -9,80 +9,80 @@
 	graniteknot "graniteknot.org/go"
 )
 
-// The questions for who is known: for a digest, and for a part of the records.
+// The query kinds of the membership sync: for the digest and for a part of the records.
 const (
 	queryMembersDigest QueryKind = 20
 	queryMembersPart   QueryKind = 21
 )
 
 const (
-	// MemberSyncInterval is the time between two questions to a gateway whether it knows of
-	// others. New gateways are heard of sooner; a sidecar at a new address is told by
-	// gateways from then on, and tells them by itself.
+	// MemberSyncInterval is the time between two syncs. New gateways become known sooner, by
+	// their datagrams, and so does a sidecar at a new address: gateways send it datagrams
+	// from then on, and it reports its load to them.
 	MemberSyncInterval = time.Second
-	// memberSyncTimeout bounds a question, censusTries how many gateways are asked.
+	// memberSyncTimeout bounds one query, memberSyncAttempts the number of gateways queried.
 	memberSyncTimeout  = 150 * time.Millisecond
 	memberSyncAttempts = 2
 )
 
-// MemberSync learns from gateways who is known, in place of the store: where each process
-// follows the store's records itself, a start of 278 made some 1,500 calls. Set the
-// exported fields.
+// MemberSync fetches the member records from gateways instead of from the store: when each
+// process followed the store itself, a start of 278 processes made some 1,500 store calls.
+// Set the exported fields.
 type MemberSync struct {
 	Socket *Socket
 	View   *View
 	Self   Member
-	// Clock is what ages are decided by.
+	// Clock measures ages.
 	Clock graniteknot.AgeClock
-	// Sources returns whom to ask; nil for the gateways that are told directly. Gateways ask
-	// the readers: relays that asked each other would never learn of a process whose
-	// record none of them has read.
+	// Sources returns the addresses to query; nil means View.DirectGateways. Gateways query
+	// the store's readers: relays that queried each other would never learn of a process
+	// whose record none of them has read.
 	Sources func(now time.Time) []graniteknot.Address
 
 	mu sync.Mutex
-	// nextSource is whom to ask next; taken is the digest of what was last taken in.
+	// nextSource counts through the sources; lastDigest is that of the records last fetched.
 	nextSource int
 	lastDigest uint64
-	// packed are the records as they were last packed, of the digest; shelf has the packs that
-	// others are taking.
+	// packed are the records as last packed, and packedDigest the view's digest then;
+	// packCache holds the sets that other processes are fetching.
 	packed       PackedRecords
 	packedDigest uint64
 	packCache    PackCache
 }
 
-// Sync asks a gateway or two who they know, and takes in what is new; false when none
-// answers. It is for Registrar's Elsewhere.
-func (c *MemberSync) Sync(ctx context.Context) bool {
-	to := c.sources(c.Clock.Now())
-	if len(to) == 0 {
+// Sync queries up to memberSyncAttempts gateways and adds the members that they know to the
+// view. It returns false if none replies. It implements Registrar.SyncFromPeer.
+func (s *MemberSync) Sync(ctx context.Context) bool {
+	sources := s.sources(s.Clock.Now())
+	if len(sources) == 0 {
 		return false
 	}
 	for range memberSyncAttempts {
-		if c.syncFrom(ctx, to[c.nextIndex()%len(to)]) {
+		if s.syncFrom(ctx, sources[s.nextIndex()%len(sources)]) {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *MemberSync) sources(now time.Time) []graniteknot.Address {
-	if c.Sources != nil {
-		return c.Sources(now)
+func (s *MemberSync) sources(now time.Time) []graniteknot.Address {
+	if s.Sources != nil {
+		return s.Sources(now)
 	}
-	return c.View.DirectGateways(c.Self.Box, now)
+	return s.View.DirectGateways(s.Self.Box, now)
 }
 
-func (c *MemberSync) nextIndex() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.nextSource++
-	return c.nextSource
+func (s *MemberSync) nextIndex() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.nextSource++
+	return s.nextSource
 }
 
-func (c *MemberSync) syncFrom(ctx context.Context, from graniteknot.Address) bool {
-	short, cancel := context.WithTimeout(ctx, memberSyncTimeout)
+func (s *MemberSync) syncFrom(ctx context.Context, from graniteknot.Address) bool {
+	queryCtx, cancel := context.WithTimeout(ctx, memberSyncTimeout)
 	defer cancel()
-	body, err := c.Socket.Ask(short, from, queryMembersDigest, nil)
+	body, err := s.Socket.Ask(queryCtx, from, queryMembersDigest, nil)
 	if err != nil {
 		return false
 	}
@@ -90,57 +90,57 @@
 	if n <= 0 {
 		return false
 	}
-	if digest == c.View.Digest(c.Self) || !c.digestChanged(digest) {
+	if digest == s.View.Digest(s.Self) || !s.digestChanged(digest) {
 		return true
 	}
-	records, err := c.Socket.Fetch(ctx, from, queryMembersPart)
+	records, err := s.Socket.Fetch(ctx, from, queryMembersPart)
 	if err != nil {
 		return false
 	}
 	for _, r := range records {
 		m, err := decodeMember(r)
-		if err != nil || m.Box == c.Self.Box {
+		if err != nil || m.Box == s.Self.Box {
 			continue
 		}
-		c.View.PutRecord(m, r.At, c.Clock.Now())
+		s.View.PutRecord(m, r.At, s.Clock.Now())
 	}
 	return true
 }
 
-// digestChanged tells whether a digest is not that of what was last taken in: who knows less
-// than this process is not to be asked again and again.
-func (c *MemberSync) digestChanged(digest uint64) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	before := c.lastDigest
-	c.lastDigest = digest
-	return digest != before
+// digestChanged tells whether a digest differs from that of the last fetch, and remembers it.
+// A gateway that knows less than this process would otherwise be fetched from each time.
+func (s *MemberSync) digestChanged(digest uint64) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	previous := s.lastDigest
+	s.lastDigest = digest
+	return digest != previous
 }
 
-// HandleQuery answers the questions of others; false for those of another kind.
-func (c *MemberSync) HandleQuery(kind QueryKind, body []byte) ([]byte, bool, error) {
+// HandleQuery answers a query of another process. It returns false for other query kinds.
+func (s *MemberSync) HandleQuery(kind QueryKind, body []byte) ([]byte, bool, error) {
 	switch kind {
 	case queryMembersDigest:
-		return binary.AppendUvarint(nil, c.View.Digest(c.Self)), true, nil
+		return binary.AppendUvarint(nil, s.View.Digest(s.Self)), true, nil
 	case queryMembersPart:
-		out, err := c.packCache.ServePart(body, c.pack)
+		out, err := s.packCache.ServePart(body, s.pack)
 		return out, true, err
 	}
 	return nil, false, nil
 }
 
-// pack returns the records.
-func (c *MemberSync) pack() (PackedRecords, error) {
-	digest := c.View.Digest(c.Self)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.packed != nil && digest == c.packedDigest {
-		return c.packed, nil
+// pack returns the packed records of the view.
+func (s *MemberSync) pack() (PackedRecords, error) {
+	digest := s.View.Digest(s.Self)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.packed != nil && digest == s.packedDigest {
+		return s.packed, nil
 	}
-	packed, err := PackRecords(c.View.records(c.Self))
+	packed, err := PackRecords(s.View.records(s.Self))
 	if err != nil {
 		return nil, err
 	}
-	c.packed, c.packedDigest = packed, digest
+	s.packed, s.packedDigest = packed, digest
 	return packed, nil
 }
--- a/internal/core/presence/member_sync_test.go
+++ b/internal/core/presence/member_sync_test.go
@@ -11,25 +11,25 @@
 	"graniteknot.org/go/internal/core/presence"
 )
 
-var errKind = errors.New("no such question")
+var errKind = errors.New("unknown query kind")
 
-// syncProcess is a process with a socket and a view.
+// syncProcess is a process with a socket and a view that answers membership queries.
 type syncProcess struct {
-	view   presence.View
-	census presence.MemberSync
+	view       presence.View
+	memberSync presence.MemberSync
 }
 
 func newSyncProcess(t *testing.T, role presence.Role, box graniteknot.BoxName) *syncProcess {
 	t.Helper()
 	s := listen(t)
 	p := &syncProcess{}
-	p.census = presence.MemberSync{
+	p.memberSync = presence.MemberSync{
 		Socket: s, View: &p.view,
 		Self: presence.Member{Box: box, Role: role, Zone: "z", PeerAddress: s.Address(), Incarnation: graniteknot.Incarnation(len(box))},
 	}
 	s.HandleQueries(func(_ context.Context, kind presence.QueryKind, body []byte) ([]byte, error) {
-		out, mine, err := p.census.HandleQuery(kind, body)
-		if !mine {
+		out, handled, err := p.memberSync.HandleQuery(kind, body)
+		if !handled {
 			return nil, errKind
 		}
 		return out, err
@@ -37,8 +37,8 @@
 	return p
 }
 
-// TestMemberSync has a sidecar that knows one gateway learn from it of all others, and not
-// put a life that ended in the place of the one that it knows.
+// TestMemberSync checks that a sidecar that knows one gateway learns of all others from it,
+// and that an older record does not replace a newer incarnation.
 func TestMemberSync(t *testing.T) {
 	gateway, sidecar := newSyncProcess(t, presence.RoleGateway, "g"), newSyncProcess(t, presence.RoleSidecar, "s")
 	now := time.Now()
@@ -47,11 +47,11 @@
 		m := member(graniteknot.BoxName("other-"+strconv.Itoa(i)), 5)
 		gateway.view.PutRecord(m, graniteknot.Position(i), now)
 	}
-	sidecar.view.PutRecord(gateway.census.Self, 300, now)
-	renewed := member("other-0", 6)
-	sidecar.view.PutRecord(renewed, 301, now)
+	sidecar.view.PutRecord(gateway.memberSync.Self, 300, now)
+	newer := member("other-0", 6)
+	sidecar.view.PutRecord(newer, 301, now)
 	for range 20 {
-		if sidecar.census.Sync(t.Context()) && len(sidecar.view.Members(presence.RoleGateway, "")) > 2 {
+		if sidecar.memberSync.Sync(t.Context()) && len(sidecar.view.Members(presence.RoleGateway, "")) > 2 {
 			break
 		}
 	}
@@ -60,12 +60,12 @@
 		t.Fatalf("%d gateways are known", len(known))
 	}
 	for _, m := range known {
-		if m.Box == renewed.Box && m.Incarnation != renewed.Incarnation {
-			t.Errorf("%+v is known in the place of %+v", m, renewed)
+		if m.Box == newer.Box && m.Incarnation != newer.Incarnation {
+			t.Errorf("got %+v instead of the newer %+v", m, newer)
 		}
 	}
 	alone := newSyncProcess(t, presence.RoleSidecar, "a")
-	if alone.census.Sync(t.Context()) {
-		t.Error("nobody was there to answer")
+	if alone.memberSync.Sync(t.Context()) {
+		t.Error("sync succeeded without any gateway")
 	}
 }
--- a/internal/core/presence/pack_cache.go
+++ b/internal/core/presence/pack_cache.go
@@ -8,26 +8,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxPacks is how many packs are kept for those that are taking them.
+// maxPacks is how many record sets are kept for fetches that are under way.
 const maxPacks = 4
 
-// PackCache keeps the last packs of a kind, so that who has begun to take one gets the rest of it
-// though the records have changed since. The zero value is empty.
+// PackCache keeps the last sets of packed records of a kind, so that a fetch that has begun
+// gets all parts of one set although the records have changed since. The zero value is empty.
 type PackCache struct {
 	mu sync.Mutex
-	// packs are kept, the newest last.
+	// packs are ordered from oldest to newest.
 	packs []pack
 }
 
+// pack is a record set and its digest.
 type pack struct {
 	digest  uint64
 	records PackedRecords
 }
 
-// ServePart answers a question for a part. The first part is of what newest returns, each other one
-// of the pack that the question names.
-func (s *PackCache) ServePart(question []byte, newest func() (PackedRecords, error)) ([]byte, error) {
-	offset, digest, err := decodePartQuery(question)
+// ServePart returns the reply to a query for a part. The first part is of the set that newest
+// returns, every other part of the set whose digest the query names.
+func (c *PackCache) ServePart(query []byte, newest func() (PackedRecords, error)) ([]byte, error) {
+	offset, digest, err := decodePartQuery(query)
 	if err != nil {
 		return nil, err
 	}
@@ -36,49 +37,50 @@
 		if err != nil {
 			return nil, err
 		}
-		return packed.encodePart(0, s.put(packed))
+		return packed.encodePart(0, c.put(packed))
 	}
-	one, ok := s.find(digest)
+	found, ok := c.find(digest)
 	if !ok {
 		return nil, ErrMalformed
 	}
-	return one.records.encodePart(offset, one.digest)
+	return found.records.encodePart(offset, found.digest)
 }
 
-// put keeps a pack and returns its digest.
-func (s *PackCache) put(p PackedRecords) uint64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if n := len(s.packs); n > 0 && len(p) > 0 && len(s.packs[n-1].records) == len(p) && &s.packs[n-1].records[0] == &p[0] {
-		return s.packs[n-1].digest
+// put adds a set and returns its digest.
+func (c *PackCache) put(p PackedRecords) uint64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if n := len(c.packs); n > 0 && len(p) > 0 && len(c.packs[n-1].records) == len(p) && &c.packs[n-1].records[0] == &p[0] {
+		return c.packs[n-1].digest
 	}
-	one := pack{xxhash.Sum64(p), p}
-	s.packs = slices.DeleteFunc(s.packs, func(x pack) bool { return x.digest == one.digest })
-	s.packs = append(s.packs, one)
-	if len(s.packs) > maxPacks {
-		s.packs = slices.Delete(s.packs, 0, 1)
+	added := pack{xxhash.Sum64(p), p}
+	c.packs = slices.DeleteFunc(c.packs, func(x pack) bool { return x.digest == added.digest })
+	c.packs = append(c.packs, added)
+	if len(c.packs) > maxPacks {
+		c.packs = slices.Delete(c.packs, 0, 1)
 	}
-	return one.digest
+	return added.digest
 }
 
-// find returns the pack of a digest. Processes of earlier builds name none, and get the newest.
-func (s *PackCache) find(digest uint64) (pack, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if len(s.packs) == 0 {
+// find returns the set with a digest. Processes of earlier builds name no digest and get the
+// newest set.
+func (c *PackCache) find(digest uint64) (pack, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.packs) == 0 {
 		return pack{}, false
 	}
 	if digest == 0 {
-		return s.packs[len(s.packs)-1], true
+		return c.packs[len(c.packs)-1], true
 	}
-	at := slices.IndexFunc(s.packs, func(x pack) bool { return x.digest == digest })
+	at := slices.IndexFunc(c.packs, func(x pack) bool { return x.digest == digest })
 	if at < 0 {
 		return pack{}, false
 	}
-	return s.packs[at], true
+	return c.packs[at], true
 }
 
-// encodePartQuery asks for the part at an offset of the pack with a digest.
+// encodePartQuery returns the query for the part at an offset of the set with a digest.
 func encodePartQuery(offset int, digest uint64) []byte {
 	out := binary.AppendUvarint(nil, uint64(offset))
 	if offset == 0 {
@@ -87,16 +89,16 @@
 	return binary.AppendUvarint(out, digest)
 }
 
-// decodePartQuery is the inverse of question; without a digest it is 0.
-func decodePartQuery(question []byte) (offset, digest uint64, err error) {
-	offset, n := binary.Uvarint(question)
+// decodePartQuery is the inverse of encodePartQuery; a missing digest is 0.
+func decodePartQuery(query []byte) (offset, digest uint64, err error) {
+	offset, n := binary.Uvarint(query)
 	if n <= 0 {
 		return 0, 0, ErrMalformed
 	}
-	if len(question) == n {
+	if len(query) == n {
 		return offset, 0, nil
 	}
-	digest, m := binary.Uvarint(question[n:])
+	digest, m := binary.Uvarint(query[n:])
 	if m <= 0 {
 		return 0, 0, ErrMalformed
 	}
--- a/internal/core/presence/parts.go
+++ b/internal/core/presence/parts.go
@@ -16,30 +16,31 @@
 	"graniteknot.org/go/internal/group"
 )
 
-// A process takes records that the store gave from another process, in parts that fit
-// into datagrams, with a digest of the whole.
+// A process fetches records of the store from another process, in parts that fit into
+// datagrams, with a digest of the whole set.
 const (
-	// partSize is how many bytes one answer holds of the records.
+	// partSize is the number of bytes of packed records in one reply.
 	partSize = 1000
-	// maxPackedBytes and mostUnpacked bound what is taken from another process: some ten
-	// thousand routes packed, and what they unpack to.
+	// maxPackedBytes and maxUnpackedBytes bound what is accepted from another process: room
+	// for some ten thousand routes, compressed and not.
 	maxPackedBytes   = 4 << 20
 	maxUnpackedBytes = 32 << 20
-	// concurrentParts is how many parts are asked for at a time.
+	// concurrentParts is the number of parts that are fetched at the same time.
 	concurrentParts = 8
-	// partAttempts is how often a part is asked for, since datagrams may be lost, and
-	// partTime bounds each question.
+	// partAttempts is how often a part is queried, since datagrams may be lost, and
+	// partTimeout bounds each query.
 	partAttempts = 3
 	partTimeout  = 120 * time.Millisecond
 )
 
-// ErrMalformed is an answer that can't be read.
+// ErrMalformed is a query or a reply that can't be decoded, or whose part does
+// not fit the others.
 var ErrMalformed = errors.New("malformed answer")
 
-// PackedRecords is records ready to be taken by others.
+// PackedRecords is a set of records, encoded and compressed for other processes.
 type PackedRecords []byte
 
-// PackRecords packs records.
+// PackRecords encodes and compresses records.
 func PackRecords(list []graniteknot.KeyedRecord) (PackedRecords, error) {
 	plain, err := cbor.Marshal(list)
 	if err != nil {
@@ -68,14 +69,14 @@
 	return list, cbor.Unmarshal(plain, &list)
 }
 
-// part is an answer: the digest and length of the whole, and some bytes of it.
+// part is a reply: the digest and length of the whole, and some bytes of it.
 type part struct {
 	Digest uint64 `cbor:"1,keyasint"`
 	Total  int    `cbor:"2,keyasint"`
 	Bytes  []byte `cbor:"3,keyasint"`
 }
 
-// encodePart answers a question for the encodePart at an offset of a pack with a digest.
+// encodePart returns the reply for the part at an offset; digest is that of the whole.
 func (p PackedRecords) encodePart(offset, digest uint64) ([]byte, error) {
 	if offset > uint64(len(p)) {
 		return nil, ErrMalformed
@@ -84,7 +85,7 @@
 	return cbor.Marshal(part{Digest: digest, Total: len(p), Bytes: p[offset:end]})
 }
 
-// Fetch takes all records of a kind from the process at an address.
+// Fetch fetches all records of a kind from the process at an address.
 func (s *Socket) Fetch(ctx context.Context, from graniteknot.Address, kind QueryKind) ([]graniteknot.KeyedRecord, error) {
 	first, err := s.fetchPart(ctx, from, kind, encodePartQuery(0, 0))
 	if err != nil {
@@ -103,7 +104,7 @@
 	return unpack(whole)
 }
 
-// fetchRest takes all parts but the first, several at a time.
+// fetchRest fetches all parts but the first, several at a time.
 func (s *Socket) fetchRest(ctx context.Context, from graniteknot.Address, kind QueryKind, first *part, whole []byte) error {
 	if len(first.Bytes) == 0 {
 		return ErrMalformed
@@ -112,48 +113,49 @@
 	defer cancel(nil)
 	var next atomic.Int64
 	next.Store(int64(len(first.Bytes)))
-	var takers group.Group
+	var fetchers group.Group
 	for range concurrentParts {
-		takers.Go(func(context.Context) {
+		fetchers.Go(func(context.Context) {
 			for ctx.Err() == nil {
-				at := int(next.Add(partSize)) - partSize
-				if at >= len(whole) {
+				offset := int(next.Add(partSize)) - partSize
+				if offset >= len(whole) {
 					return
 				}
-				if err := s.fetchInto(ctx, from, kind, first, whole, at); err != nil {
+				if err := s.fetchInto(ctx, from, kind, first, whole, offset); err != nil {
 					cancel(err)
 				}
 			}
 		})
 	}
-	takers.Wait()
+	fetchers.Wait()
 	return context.Cause(ctx)
 }
 
-// fetchInto takes the part at a place of the whole.
-func (s *Socket) fetchInto(ctx context.Context, from graniteknot.Address, kind QueryKind, first *part, whole []byte, at int) error {
-	one, err := s.fetchPart(ctx, from, kind, encodePartQuery(at, first.Digest))
+// fetchInto fetches the part at an offset and copies it into the whole.
+func (s *Socket) fetchInto(ctx context.Context, from graniteknot.Address, kind QueryKind, first *part, whole []byte, offset int) error {
+	next, err := s.fetchPart(ctx, from, kind, encodePartQuery(offset, first.Digest))
 	if err != nil {
 		return err
 	}
-	if one.Digest != first.Digest || one.Total != first.Total || len(one.Bytes) != min(partSize, len(whole)-at) {
+	if next.Digest != first.Digest || next.Total != first.Total || len(next.Bytes) != min(partSize, len(whole)-offset) {
 		return ErrMalformed
 	}
-	copy(whole[at:], one.Bytes)
+	copy(whole[offset:], next.Bytes)
 	return nil
 }
 
-func (s *Socket) fetchPart(ctx context.Context, from graniteknot.Address, kind QueryKind, question []byte) (*part, error) {
-	var last error
+// fetchPart queries for one part, up to partAttempts times.
+func (s *Socket) fetchPart(ctx context.Context, from graniteknot.Address, kind QueryKind, query []byte) (*part, error) {
+	var lastErr error
 	for range partAttempts {
-		short, cancel := context.WithTimeout(ctx, partTimeout)
-		body, err := s.Ask(short, from, kind, question)
+		queryCtx, cancel := context.WithTimeout(ctx, partTimeout)
+		body, err := s.Ask(queryCtx, from, kind, query)
 		cancel()
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		out := &part{}
@@ -165,5 +167,5 @@
 		}
 		return out, nil
 	}
-	return nil, last
+	return nil, lastErr
 }
--- a/internal/core/presence/query.go
+++ b/internal/core/presence/query.go
@@ -10,110 +10,110 @@
 	graniteknot "graniteknot.org/go"
 )
 
-// MaxBodyBytes is the largest body of a question or an answer: with what is around
-// it, it fits into one packet.
+// MaxBodyBytes bounds the body of a query or a reply, so that the whole datagram fits into
+// one packet.
 const MaxBodyBytes = 1200
 
-// QueryKind says what is asked; the numbers are the callers'.
+// QueryKind identifies the kind of a query. Callers define the values.
 type QueryKind uint8
 
-// Query asks another process for an answer.
+// Query is a request for data to another process.
 type Query struct {
-	// ID is repeated in the answer.
+	// ID is repeated in the reply.
 	ID   uint64    `cbor:"1,keyasint"`
 	Kind QueryKind `cbor:"2,keyasint"`
 	Body []byte    `cbor:"3,keyasint,omitempty"`
 }
 
-// Reply is the answer to a question.
+// Reply is the response to a query.
 type Reply struct {
 	ID   uint64 `cbor:"1,keyasint"`
 	Body []byte `cbor:"2,keyasint,omitempty"`
-	// Error tells why there is no body; empty when there is one.
+	// Error is why the query failed; empty if it succeeded.
 	Error string `cbor:"3,keyasint,omitempty"`
 }
 
-// ErrTooLarge is a question or an answer that does not fit into a datagram.
+// ErrTooLarge is returned for a query or a reply that does not fit into a datagram.
 var ErrTooLarge = errors.New("too large for a datagram")
 
-// tooLargeError stands for ErrTooLarge in an answer.
+// tooLargeError is how a reply reports ErrTooLarge.
 const tooLargeError = "too large"
 
-// pendingQueries are the questions that wait for their answers. The zero value has none.
+// pendingQueries tracks the queries that wait for a reply. The zero value is empty.
 type pendingQueries struct {
 	mu      sync.Mutex
 	lastID  uint64
 	waiters map[uint64]chan *Reply
 }
 
-// add returns a number for a question, and where its answer will come.
-func (a *pendingQueries) add() (uint64, chan *Reply) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.waiters == nil {
-		a.waiters = map[uint64]chan *Reply{}
+// add returns the ID of a new query and the channel on which its reply arrives.
+func (p *pendingQueries) add() (uint64, chan *Reply) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.waiters == nil {
+		p.waiters = map[uint64]chan *Reply{}
 	}
-	a.lastID++
-	answer := make(chan *Reply, 1)
-	a.waiters[a.lastID] = answer
-	return a.lastID, answer
+	p.lastID++
+	reply := make(chan *Reply, 1)
+	p.waiters[p.lastID] = reply
+	return p.lastID, reply
 }
 
-func (a *pendingQueries) remove(number uint64) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	delete(a.waiters, number)
+func (p *pendingQueries) remove(id uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.waiters, id)
 }
 
-// deliver hands an answer to who waits for it; one that nobody waits for, or that
-// came twice, is dropped.
-func (a *pendingQueries) deliver(got *Reply) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if waiting := a.waiters[got.ID]; waiting != nil {
-		delete(a.waiters, got.ID)
-		waiting <- got
+// deliver hands a reply to the query that waits for it. Duplicates and replies to unknown
+// queries are dropped.
+func (p *pendingQueries) deliver(reply *Reply) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if waiter := p.waiters[reply.ID]; waiter != nil {
+		delete(p.waiters, reply.ID)
+		waiter <- reply
 	}
 }
 
-// Ask asks the process at an address, and waits until it answers or ctx is done.
-// The question is sent once: it or its answer may be lost.
+// Ask sends a query to the process at an address and waits for the reply or until ctx is
+// done. The query is sent once: it or its reply may be lost.
 func (s *Socket) Ask(ctx context.Context, to graniteknot.Address, kind QueryKind, body []byte) ([]byte, error) {
 	if len(body) > MaxBodyBytes {
 		return nil, ErrTooLarge
 	}
-	number, waiting := s.pending.add()
-	defer s.pending.remove(number)
-	s.Send(Message{Query: &Query{ID: number, Kind: kind, Body: body}}, []graniteknot.Address{to})
+	id, waiter := s.pending.add()
+	defer s.pending.remove(id)
+	s.Send(Message{Query: &Query{ID: id, Kind: kind, Body: body}}, []graniteknot.Address{to})
 	select {
 	case <-ctx.Done():
-		return nil, fmt.Errorf("ask %s: %w", to, ctx.Err())
-	case got := <-waiting:
-		if got.Error == tooLargeError {
+		return nil, fmt.Errorf("query %s: %w", to, ctx.Err())
+	case reply := <-waiter:
+		if reply.Error == tooLargeError {
 			return nil, ErrTooLarge
 		}
-		if got.Error != "" {
-			return nil, fmt.Errorf("ask %s: %s", to, got.Error)
+		if reply.Error != "" {
+			return nil, fmt.Errorf("query %s: %s", to, reply.Error)
 		}
-		return got.Body, nil
+		return reply.Body, nil
 	}
 }
 
-// HandleQueries has questions answered by a function, which is called once for each, in
-// a goroutine of its own. It is called before the first question comes.
-func (s *Socket) HandleQueries(answer func(context.Context, QueryKind, []byte) ([]byte, error)) {
-	s.queryHandler.Store(&answer)
+// HandleQueries sets the handler of incoming queries, which runs in a goroutine of its own
+// for each. Queries that arrive before it is set are dropped.
+func (s *Socket) HandleQueries(handler func(context.Context, QueryKind, []byte) ([]byte, error)) {
+	s.queryHandler.Store(&handler)
 }
 
-// handleQuery answers a question.
+// handleQuery runs the handler for a query and sends its reply.
 func (s *Socket) handleQuery(q *Query, from netip.AddrPort) {
-	answer := s.queryHandler.Load()
-	if answer == nil {
+	handler := s.queryHandler.Load()
+	if handler == nil {
 		return
 	}
 	s.group.Go(func(ctx context.Context) {
 		out := &Reply{ID: q.ID}
-		body, err := (*answer)(ctx, q.Kind, q.Body)
+		body, err := (*handler)(ctx, q.Kind, q.Body)
 		switch {
 		case err != nil:
 			out.Error = err.Error()
--- a/internal/core/presence/registrar.go
+++ b/internal/core/presence/registrar.go
@@ -16,60 +16,59 @@
 )
 
 const (
-	// registerRetryDelay is the pause after a failed try to register.
+	// registerRetryDelay is the delay after a failed write of a member record.
 	registerRetryDelay = 400 * time.Millisecond
-	// registerMaxWait bounds how long a process waits for the records of former lives
-	// before it writes its own; it looks each registerStep.
+	// registerMaxWait bounds how long a process waits for the records of earlier incarnations
+	// before it writes its own; it polls at registerPollInterval.
 	registerMaxWait      = 400 * time.Millisecond
 	registerPollInterval = 20 * time.Millisecond
-	// followPollWait is how long one read of the members waits for a change.
+	// followPollWait is how long a read of the members waits for a change.
 	followPollWait = 20 * time.Second
-	// followReadPause gathers changes that come together, as at a start.
+	// followReadPause batches changes that come together, as when many processes start.
 	followReadPause = 500 * time.Millisecond
 )
 
-// Registrar writes a process into the store and follows the others.
+// Registrar writes a process's member record to the store and follows the other members.
 type Registrar struct {
 	Store  graniteknot.KeyedStore
 	Self   Member
 	View   *View
 	Health *watch.Health
 	Log    *eventlog.Log
-	// Clock is what ages are decided by.
+	// Clock measures ages.
 	Clock graniteknot.AgeClock
-	// OnJoin is called when a member is new, or a new life of one; nil for
-	// nothing.
+	// OnJoin, if set, is called for each new member and each new incarnation of one.
 	OnJoin func(Member)
-	// OnFirstRead is called once, when the members' records were first read or could not be; unknown
-	// tells that they were, and that none is of this process or a former life of it. Nil for
-	// nothing.
+	// OnFirstRead, if set, is called once, after the first read of the member records
+	// succeeded or failed. Argument unknown tells that it succeeded and that no record is of
+	// this process or an earlier incarnation of it.
 	OnFirstRead func(unknown bool)
-	// SyncFromPeer learns from other processes who is known, in place of a call to the
-	// store; false when none answers. Nil where nobody does.
+	// SyncFromPeer, if set, fetches the members from another process instead of the store. It
+	// returns false if none replies.
 	SyncFromPeer func(ctx context.Context) bool
 
-	// restoredEra is the era in which records are to be written again; 0 for none. Only the
-	// follower touches it.
+	// restoredEra is the store's era in which records have to be rewritten; 0 is none. Only the
+	// follower's goroutine accesses it.
 	restoredEra graniteknot.Era
-	// recorded tells that the store has a record that differs from the own one by the life
-	// at most.
+	// recorded tells that the store has a record that equals the own one except for the
+	// incarnation.
 	recorded atomic.Bool
-	// recordsRead tells that the records were recordsRead.
+	// recordsRead tells that the member records were read.
 	recordsRead atomic.Bool
-	// malformed tells of records that can't be used.
+	// malformed logs records that can't be decoded.
 	malformed eventlog.Sparse
 }
 
-// Register writes the process into the store; it tries until it has an answer. A
-// process that started anew at the same addresses is known already: its life is told by
-// its datagrams.
+// Register writes the process's record to the store and retries until that succeeds. A
+// process that restarted at the same addresses writes none: its datagrams tell the new
+// incarnation.
 func (r *Registrar) Register(ctx context.Context) {
 	value, err := json.Marshal(r.Self)
 	if err != nil {
-		r.Log.Warn("register", slog.String("error", err.Error()))
+		r.Log.Warn("registration failed", slog.String("error", err.Error()))
 		return
 	}
-	for began := time.Now(); !r.recordsRead.Load() && time.Since(began) < registerMaxWait; {
+	for start := time.Now(); !r.recordsRead.Load() && time.Since(start) < registerMaxWait; {
 		delay.For(ctx, registerPollInterval)
 	}
 	for ctx.Err() == nil && !r.recorded.Load() {
@@ -79,7 +78,7 @@
 			r.Log.Info("registered", slog.Int64("position", at.Offset()), slog.Uint64("born", uint64(r.Self.Incarnation)))
 			return
 		}
-		// Registering twice is harmless.
+		// The record may have been written although the call failed; a second one does no harm.
 		timer := time.NewTimer(registerRetryDelay)
 		select {
 		case <-ctx.Done():
@@ -89,34 +88,34 @@
 	}
 }
 
-// Follow keeps the view up to date until ctx is done.
+// Follow updates the view from the store until ctx is done.
 func (r *Registrar) Follow(ctx context.Context) {
 	var once sync.Once
-	met := func(unknown bool) {
+	firstRead := func(unknown bool) {
 		if r.OnFirstRead != nil {
 			once.Do(func() { r.OnFirstRead(unknown) })
 		}
 	}
-	var again group.Group
-	defer again.Stop()
-	newest := func(records []graniteknot.KeyedRecord, began time.Time) {
+	var restores group.Group
+	defer restores.Stop()
+	onNewest := func(records []graniteknot.KeyedRecord, began time.Time) {
 		r.apply(records, began)
 		r.recordsRead.Store(true)
-		met(!r.recorded.Load())
+		firstRead(!r.recorded.Load())
 		if era := r.restoredEra; era != 0 {
 			r.restoredEra = 0
-			again.Go(func(ctx context.Context) { r.restore(ctx, era) })
+			restores.Go(func(ctx context.Context) { r.restore(ctx, era) })
 		}
 	}
 	follower := watch.Follower{
 		Store: r.Store, Topic: graniteknot.TopicMembers, Health: r.Health, Clock: r.Clock, PollWait: followPollWait, ReadPause: followReadPause,
-		OnNewest: newest, OnNext: r.apply, OnFailure: func(error) { met(false) }, Revalidate: r.SyncFromPeer, RevalidateInterval: MemberSyncInterval,
+		OnNewest: onNewest, OnNext: r.apply, OnFailure: func(error) { firstRead(false) }, Revalidate: r.SyncFromPeer, RevalidateInterval: MemberSyncInterval,
 		OnRestore: func(era graniteknot.Era) { r.restoredEra = era },
 	}
 	follower.Run(ctx)
 }
 
-// handleOwnRecord notes the handleOwnRecord record, of this life or a former one.
+// handleOwnRecord handles the record of this process or of an earlier incarnation of it.
 func (r *Registrar) handleOwnRecord(m Member, at graniteknot.Position) {
 	r.View.SetOwnPosition(at)
 	m.Incarnation = r.Self.Incarnation
@@ -125,6 +124,7 @@
 	}
 }
 
+// apply updates the view from records.
 func (r *Registrar) apply(records []graniteknot.KeyedRecord, _ time.Time) {
 	for _, record := range records {
 		if len(record.Value) == 0 {
@@ -133,7 +133,7 @@
 		}
 		m, err := decodeMember(record)
 		if err != nil {
-			r.malformed.Warn(r.Log, "malformed member", record.Key, err.Error())
+			r.malformed.Warn(r.Log, "malformed member record", record.Key, err.Error())
 			continue
 		}
 		if m.Box == r.Self.Box {
--- a/internal/core/presence/relay.go
+++ b/internal/core/presence/relay.go
@@ -10,43 +10,42 @@
 	graniteknot "graniteknot.org/go"
 )
 
-// In a small deployment every process tells each gateway what it has to tell. That
-// grows with the square of the boxes, most of it from other availability zones. So in larger ones
-// a few gateways of each zone, the relays, are told, and these tell the gateways of
-// their zone in bundles. Nobody appoints relays: each gateway finds out whether it is
-// one from whom it knows, and says so; two that differ in what they know make one too
-// many or too few for a moment. Where no relay of a zone is heard, all its gateways are
-// told directly.
+// In a small deployment every process sends its messages to each gateway. That traffic
+// grows with the square of the number of boxes, and most of it crosses availability zones.
+// Processes of larger deployments therefore send to a few gateways of each zone only, the
+// relays, which forward to the gateways of their zone in bundles. There is no election: each
+// gateway computes from its own view whether it is a relay, and announces it. While views
+// differ, a zone may have one relay too many or too few. If no relay of a zone is heard, all
+// gateways of the zone are sent to directly.
 const (
-	// MaxDirectGateways is the number of gateways up to which each is told directly.
+	// MaxDirectGateways is the largest number of gateways that are all sent to directly.
 	MaxDirectGateways = 12
-	// relaysPerZone is how many relays a zone has: the loss of one costs nothing.
+	// relaysPerZone is the number of relays of a zone: no update is lost when one fails.
 	relaysPerZone = 2
-	// BundleInterval is the time between two bundles of a relay: with the period of
-	// digests to relays, what gateways know is as old as digests to 40 gateways were.
+	// BundleInterval is the time between two bundles of a relay. With RelayedReportInterval,
+	// load data gets about as old as with direct reports to 40 gateways.
 	BundleInterval = 200 * time.Millisecond
-	// RelayAnnounceInterval is how often a relay tells all others that it is one.
+	// RelayAnnounceInterval is the time between a relay's announcements to all processes.
 	RelayAnnounceInterval = 800 * time.Millisecond
-	// relayTimeout is how long a relay is told on that is not heard: two of its words
-	// may be lost.
+	// relayTimeout is for how long a silent relay still counts as one: two of its
+	// announcements may be lost.
 	relayTimeout = 2 * time.Second
-	// maxFrozenView bounds for how long the view of a gateway that no relay tells anything
-	// stays as it is. Without it a gateway whose relays have both ended would soon take all
-	// others for dead, and all places of the engines for its own.
+	// maxFrozenView bounds for how long a gateway that hears no relay keeps its view frozen.
+	// Without freezing, a gateway whose relays have both failed would soon take all others
+	// for dead and use all slots of the engines itself.
 	maxFrozenView = 5 * time.Second
 )
 
-// UpdateRelaying tells whether a gateway is a relay of its zone: whether it is among the
-// first that live, the ones with the widest links first. One that is about to end is
-// none.
-func (v *View) UpdateRelaying(self Member, stays bool, now time.Time) bool {
+// UpdateRelaying determines, records and returns whether a gateway is a relay of its zone:
+// whether it is staying and is among the first alive ones in the order of compareRelayPriority.
+func (v *View) UpdateRelaying(self Member, staying bool, now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.relaying = stays && v.countGateways()+1 > MaxDirectGateways && v.elected(self, now)
+	v.relaying = staying && v.countGateways()+1 > MaxDirectGateways && v.elected(self, now)
 	return v.relaying
 }
 
-// countGateways counts the known ones; called with the lock held.
+// countGateways returns the number of known gateways. The caller holds v.mu.
 func (v *View) countGateways() int {
 	n := 0
 	for _, p := range v.peers {
@@ -57,38 +56,40 @@
 	return n
 }
 
+// elected tells whether a gateway is among the first relaysPerZone of its zone. The caller
+// holds v.mu.
 func (v *View) elected(self Member, now time.Time) bool {
-	before := 0
+	ahead := 0
 	for _, p := range v.peers {
-		// A relay is heard itself; what others say of it does not count.
+		// A relay has to announce itself; bundles of others don't count.
 		silent := !p.relayHeard.IsZero() && now.Sub(p.relayHeard) > relayTimeout
 		if p.Role == RoleGateway && p.Zone == self.Zone && p.Box != self.Box && !silent && v.isAlive(p, now) && compareRelayPriority(p.Member, self) < 0 {
-			before++
+			ahead++
 		}
 	}
-	return before < relaysPerZone
+	return ahead < relaysPerZone
 }
 
-// compareRelayPriority says which of two gateways relays first.
+// compareRelayPriority orders gateways by their priority as relays: by bandwidth, largest
+// first, then by hash.
 func compareRelayPriority(a, b Member) int {
 	return cmp.Or(cmp.Compare(b.LinkRate, a.LinkRate), cmp.Compare(boxHash(a.Box), boxHash(b.Box)))
 }
 
-// boxHash is what bundles call a box by. Two boxes with the same would be taken for
-// alive as long as one of them is; of 370 boxes no two have it in 99,998 of 100,000
-// deployments.
+// boxHash identifies a box in bundles. Two boxes with the same hash count as alive as long as
+// one of them is; among 370 boxes there is no collision in 99,998 of 100,000 deployments.
 func boxHash(box graniteknot.BoxName) uint32 { return uint32(xxhash.Sum64String(string(box))) }
 
-// DirectGateways returns where the gateways are to be told that are told directly, but for
-// one box: all in a small deployment, else the relays of each zone and all gateways
-// of zones of which no relay is heard.
-func (v *View) DirectGateways(but graniteknot.BoxName, now time.Time) []graniteknot.Address {
+// DirectGateways returns the addresses of the gateways to send to directly, except one box:
+// all in a small deployment, else the relays and all gateways of zones without a relay that
+// is heard.
+func (v *View) DirectGateways(except graniteknot.BoxName, now time.Time) []graniteknot.Address {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var all, relays []*peer
 	relayed := map[graniteknot.AvailabilityZone]bool{}
 	for _, p := range v.peers {
-		if p.Role != RoleGateway || p.Box == but {
+		if p.Role != RoleGateway || p.Box == except {
 			continue
 		}
 		all = append(all, p)
@@ -104,7 +105,7 @@
 	return addresses(all)
 }
 
-// ZoneGateways returns where a relay tells the gateways of its zone.
+// ZoneGateways returns the addresses of the other gateways in a relay's zone.
 func (v *View) ZoneGateways(self Member) []graniteknot.Address {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -117,7 +118,7 @@
 	return addresses(all)
 }
 
-// addresses returns where some members take datagrams, in order.
+// addresses returns the sorted peer addresses of some members.
 func addresses(all []*peer) []graniteknot.Address {
 	out := make([]graniteknot.Address, len(all))
 	for i, p := range all {
@@ -127,7 +128,7 @@
 	return out
 }
 
-// ApplyBundle takes in a bundle.
+// ApplyBundle updates the view from a relay's bundle.
 func (v *View) ApplyBundle(m *Message, now time.Time) {
 	b := m.Bundle
 	for _, joined := range b.Joined {
@@ -135,37 +136,38 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.lastBundle = now
+	v.lastRelayUpdate = now
 	v.configVersion = max(v.configVersion, b.ConfigVersion, m.ConfigVersion)
 	if p := v.peers[m.Box]; p != nil {
 		p.ready, p.lastHeard, p.relayHeard = m.Ready, now, now
 		v.setStoreLost(p, m.StoreLost)
 	}
-	named := make(map[uint32]*peer, len(v.peers))
+	byHash := make(map[uint32]*peer, len(v.peers))
 	for _, p := range v.peers {
 		if p.Role == RoleGateway {
-			named[boxHash(p.Box)] = p
+			byHash[boxHash(p.Box)] = p
 		}
 	}
-	for _, name := range b.Ready {
-		if p := named[name]; p != nil {
+	for _, hash := range b.Ready {
+		if p := byHash[hash]; p != nil {
 			p.ready, p.lastHeard = true, now
-			v.setStoreLost(p, slices.Contains(b.StoreLost, name))
+			v.setStoreLost(p, slices.Contains(b.StoreLost, hash))
 		}
 	}
-	for _, name := range b.Unready {
-		if p := named[name]; p != nil {
+	for _, hash := range b.Unready {
+		if p := byHash[hash]; p != nil {
 			p.ready, p.lastHeard = false, now
-			v.setStoreLost(p, slices.Contains(b.StoreLost, name))
+			v.setStoreLost(p, slices.Contains(b.StoreLost, hash))
 		}
 	}
 }
 
-// isAlive tells whether a member was heard of late. While nothing at all is heard from
-// relays, that is the time at which something last was; called with the lock held.
+// isAlive tells whether a member was heard within heartbeatTimeout. While no relay is heard at
+// all, time stands still shortly after the last update, for up to maxFrozenView. The caller
+// holds v.mu.
 func (v *View) isAlive(p *peer, now time.Time) bool {
-	if !v.lastBundle.IsZero() && now.Sub(v.lastBundle) < maxFrozenView {
-		now = earlier(now, v.lastBundle.Add(2*BundleInterval))
+	if !v.lastRelayUpdate.IsZero() && now.Sub(v.lastRelayUpdate) < maxFrozenView {
+		now = earlier(now, v.lastRelayUpdate.Add(2*BundleInterval))
 	}
 	return now.Sub(p.lastHeard) < heartbeatTimeout
 }
--- a/internal/core/presence/relay_test.go
+++ b/internal/core/presence/relay_test.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// tick is how often the processes of these tests do something.
+	// tick is the time step of the simulation.
 	tick = 200 * time.Millisecond
-	// largestPacket is what a bundle has to fit into.
-	largestPacket = 1400
+	// maxPacket bounds the size of a bundle.
+	maxPacket = 1400
 )
 
-// process is a gateway or a sidecar without a socket.
+// process simulates a gateway or a sidecar.
 type process struct {
 	presence.Member
 
@@ -28,13 +28,13 @@
 	relaying bool
 	relayed  time.Time
 	dead     bool
-	// took counts datagrams and bytes taken in; reported is when each replica's last
-	// report was made.
+	// datagrams and bytes count what was received; reported is when the last known report of
+	// each replica was made.
 	datagrams, bytes int
 	reported         map[graniteknot.Address]time.Time
 }
 
-// deployment is some processes that reach each other at once, with lost datagrams.
+// deployment simulates processes on a network without delay that may drop datagrams.
 type deployment struct {
 	t        *testing.T
 	now      time.Time
@@ -42,7 +42,7 @@
 	gateways []*process
 	sidecars []*process
 	random   *rand.Rand
-	// lossRate is the part of datagrams that are lossRate.
+	// lossRate is the fraction of datagrams that are dropped.
 	lossRate float64
 }
 
@@ -77,15 +77,15 @@
 	return d
 }
 
-// send carries a message to some processes.
+// send delivers a message to the processes at some addresses.
 func (d *deployment) send(from *process, m *presence.Message, to []graniteknot.Address) {
 	m.Box, m.Incarnation = from.Box, from.Incarnation
 	text, err := cbor.Marshal(m)
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	if len(text) > largestPacket {
-		d.t.Errorf("a datagram of %d bytes", len(text))
+	if len(text) > maxPacket {
+		d.t.Errorf("datagram of %d bytes", len(text))
 	}
 	for _, a := range to {
 		p := d.all[a]
@@ -102,6 +102,7 @@
 	}
 }
 
+// deliver has a process handle a message.
 func (d *deployment) deliver(p *process, m *presence.Message) {
 	if m.Bundle != nil {
 		p.view.ApplyBundle(m, d.now)
@@ -118,7 +119,7 @@
 	}
 }
 
-// run lets time go on.
+// run advances the time.
 func (d *deployment) run(span time.Duration) {
 	for end := d.now.Add(span); d.now.Before(end); {
 		d.now = d.now.Add(tick)
@@ -134,6 +135,7 @@
 	}
 }
 
+// stepGateway runs one time step of a gateway.
 func (d *deployment) stepGateway(p *process) {
 	if p.dead {
 		return
@@ -157,16 +159,16 @@
 	d.send(p, &presence.Message{Ready: true, Relay: p.relaying, Self: &self, ConfigVersion: 5}, to)
 }
 
-// checkGateways tells what every living gateway knows: how many others live, and how old the
-// oldest report is.
-func (d *deployment) checkGateways(what string, alive, reports int, oldest time.Duration) {
+// checkGateways checks for each alive gateway how many others it takes for alive, and how many
+// reports it has that are no older than oldest.
+func (d *deployment) checkGateways(phase string, alive, reports int, oldest time.Duration) {
 	d.t.Helper()
 	for _, p := range d.gateways {
 		if p.dead {
 			continue
 		}
 		if n := len(p.view.ReadyMembers(presence.RoleGateway, p.Box, d.now)); n != alive {
-			d.t.Errorf("%s: %s knows of %d that live, of %d", what, p.Box, n, alive)
+			d.t.Errorf("%s: %s knows %d alive gateways, want %d", phase, p.Box, n, alive)
 		}
 		fresh := 0
 		for _, at := range p.reported {
@@ -175,13 +177,13 @@
 			}
 		}
 		if fresh < reports {
-			d.t.Errorf("%s: %s has %d reports that are no older than %v, of %d", what, p.Box, fresh, oldest, reports)
+			d.t.Errorf("%s: %s has %d reports no older than %v, want %d", phase, p.Box, fresh, oldest, reports)
 		}
 	}
 }
 
-// TestRelays tells 149 gateways what 129 sidecars have to say through two of each
-// zone, and measures what each takes in.
+// TestRelays forwards the reports of 129 sidecars to 149 gateways through two relays per zone,
+// and bounds the traffic that each gateway receives.
 func TestRelays(t *testing.T) {
 	d := newDeployment(t, 149, 129)
 	d.run(4 * time.Second)
@@ -196,69 +198,69 @@
 	}
 	for zone, n := range relays {
 		if n != 2 || len(relays) != 5 {
-			t.Errorf("%d relays in zone %s, of %d zones", n, zone, len(relays))
+			t.Errorf("%d relays in zone %s of %d zones, want 2 in each of 5", n, zone, len(relays))
 		}
 	}
 	const seconds = 4
 	d.run(seconds * time.Second)
-	d.checkGateways("calm", 148, 129, time.Second)
+	d.checkGateways("steady state", 148, 129, time.Second)
 	for _, p := range d.gateways {
-		// Told directly, each takes in 55 KB a second in 700 datagrams, without their heads.
+		// With direct messages each would receive 55 KB per second in 700 datagrams, headers
+		// not counted.
 		if !p.relaying && (p.bytes > seconds*40_000 || p.datagrams > seconds*100) {
-			t.Errorf("%s takes in %d bytes in %d datagrams a second", p.Box, p.bytes/seconds, p.datagrams/seconds)
+			t.Errorf("%s receives %d bytes in %d datagrams per second", p.Box, p.bytes/seconds, p.datagrams/seconds)
 		}
 	}
 }
 
-// TestRelayFailure ends one relay of a zone, which costs nothing, and then both of
-// another zone at once: for a while its gateways keep to what they know, and then
-// others relay.
+// TestRelayFailure stops one relay of a zone, after which no gateway may lack a report, and then
+// both relays of another zone at once: its gateways freeze their views until others relay.
 func TestRelayFailure(t *testing.T) {
 	d := newDeployment(t, 40, 30)
 	d.run(4 * time.Second)
-	end := func(zone graniteknot.AvailabilityZone, most int) {
+	stop := func(zone graniteknot.AvailabilityZone, n int) {
 		for _, p := range d.gateways {
-			if p.relaying && p.Zone == zone && most > 0 {
+			if p.relaying && p.Zone == zone && n > 0 {
 				p.dead = true
-				most--
+				n--
 			}
 		}
 	}
-	end("a", 1)
-	// The other relay of the zone goes on: no gateway lacks a report.
+	stop("a", 1)
+	// The other relay of the zone continues: no gateway may lack a report.
 	for range 4 {
 		d.run(500 * time.Millisecond)
 		for _, p := range d.gateways {
 			for target, at := range p.reported {
 				if !p.dead && d.now.Sub(at) > 700*time.Millisecond {
-					t.Errorf("%s has a report of %s that is %v old", p.Box, target, d.now.Sub(at))
+					t.Errorf("%s has a report of %s that is %v old, want at most 700ms", p.Box, target, d.now.Sub(at))
 				}
 			}
 		}
 	}
 	d.run(2 * time.Second)
-	d.checkGateways("after one relay's end", 38, 30, time.Second)
-	end("b", 2)
+	d.checkGateways("after one relay failed", 38, 30, time.Second)
+	stop("b", 2)
 	for range 8 {
 		d.run(500 * time.Millisecond)
 		for _, p := range d.gateways {
 			if n := len(p.view.ReadyMembers(presence.RoleGateway, p.Box, d.now)); !p.dead && n < 36 {
-				t.Errorf("%s knows of %d that live", p.Box, n)
+				t.Errorf("%s knows %d alive gateways, want at least 36", p.Box, n)
 			}
 		}
 	}
 	d.run(2 * time.Second)
-	d.checkGateways("after both relays' end", 36, 30, time.Second)
+	d.checkGateways("after both relays failed", 36, 30, time.Second)
 }
 
-// TestSmallDeploymentsHaveNoRelays tells each of a dozen gateways directly.
+// TestSmallDeploymentsHaveNoRelays checks that each of 12 gateways is sent to directly.
 func TestSmallDeploymentsHaveNoRelays(t *testing.T) {
 	d := newDeployment(t, 12, 12)
 	d.run(3 * time.Second)
-	d.checkGateways("calm", 11, 12, 500*time.Millisecond)
+	d.checkGateways("steady state", 11, 12, 500*time.Millisecond)
 	for _, p := range d.gateways {
 		if p.relaying {
-			t.Errorf("%s relays", p.Box)
+			t.Errorf("%s is a relay", p.Box)
 		}
 	}
 }
--- a/internal/core/presence/report_interval_test.go
+++ b/internal/core/presence/report_interval_test.go
@@ -7,8 +7,8 @@
 	"graniteknot.org/go/internal/core/presence"
 )
 
-// TestReportInterval bounds how many digests one sidecar sends in a second, and how old
-// what a gateway knows may become.
+// TestReportInterval bounds the rate of a sidecar's load reports and the age of what a
+// gateway knows.
 func TestReportInterval(t *testing.T) {
 	for gateways, want := range map[int]time.Duration{
 		0: 120 * time.Millisecond, 6: 120 * time.Millisecond, 12: 120 * time.Millisecond,
--- a/internal/core/presence/restore.go
+++ b/internal/core/presence/restore.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// restoreJitter is over how long processes spread the writing of their own records when
-	// the store has come back from an older copy that has none.
+	// restoreJitter spreads the processes' writes of their own records after the store was
+	// restored from an older copy without them.
 	restoreJitter = 500 * time.Millisecond
-	// restorePeersDelay is how long gateways wait for others to write their own, and
-	// restoreTurn over how long they spread writing it for them: those that do not read the
-	// store do not know that it lacks theirs.
+	// restorePeersDelay is how long gateways leave others time to write their own records,
+	// and restorePeersJitter spreads their writes for the rest: processes that do not read
+	// the store do not know that their record is missing.
 	restorePeersDelay  = time.Second
 	restorePeersJitter = 2 * time.Second
 )
 
-// restore writes the records again that the store lost when it came back from an older copy:
-// the own one, and after a while those of others that live and have none in the new era.
+// restore rewrites the records that were lost when the store was restored from an older copy:
+// the own one and, after a delay, those of alive members that have none in the new era.
 func (r *Registrar) restore(ctx context.Context, era graniteknot.Era) {
 	delay.For(ctx, rand.N(restoreJitter))
 	for ctx.Err() == nil && r.View.ownRecordMissing(era) {
@@ -41,16 +41,16 @@
 	}
 }
 
-// rewriteRecord writes a member's record; after a failed try it waits for a while.
+// rewriteRecord writes a member's record. After a failure it waits for registerRetryDelay.
 func (r *Registrar) rewriteRecord(ctx context.Context, m Member) {
 	value, err := json.Marshal(m)
 	if err != nil {
-		r.Log.Warn("register again", slog.String("error", err.Error()))
+		r.Log.Warn("re-registration failed", slog.String("error", err.Error()))
 		return
 	}
 	at, err := r.Store.Append(ctx, graniteknot.TopicMembers, graniteknot.KeyedRecord{Key: string(m.Box), Value: value})
 	if err != nil {
-		r.Log.Warn("register again", slog.String("member", string(m.Box)), slog.String("error", err.Error()))
+		r.Log.Warn("re-registration failed", slog.String("member", string(m.Box)), slog.String("error", err.Error()))
 		delay.For(ctx, registerRetryDelay)
 		return
 	}
@@ -60,19 +60,19 @@
 	}
 }
 
-// ownRecordMissing tells whether the own record is not known to stand in an era.
+// ownRecordMissing tells whether the own record is not known to exist in an era.
 func (v *View) ownRecordMissing(era graniteknot.Era) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.ownPosition == nil || v.ownPosition.Era() < era
 }
 
-// missingRecords returns the members but for one box that live and whose records are not known to
-// stand in an era.
-func (v *View) missingRecords(but graniteknot.BoxName, era graniteknot.Era, now time.Time) []Member {
+// missingRecords returns the alive members, except one box, whose records are not known to
+// exist in an era.
+func (v *View) missingRecords(except graniteknot.BoxName, era graniteknot.Era, now time.Time) []Member {
 	var out []Member
 	for _, role := range []Role{RoleGateway, RoleSidecar} {
-		out = append(out, v.members(role, but, func(p *peer) bool { return p.position.Era() < era && v.isAlive(p, now) })...)
+		out = append(out, v.members(role, except, func(p *peer) bool { return p.position.Era() < era && v.isAlive(p, now) })...)
 	}
 	return out
 }
--- a/internal/core/presence/restore_test.go
+++ b/internal/core/presence/restore_test.go
@@ -14,7 +14,7 @@
 	"graniteknot.org/go/internal/standin/keyed"
 )
 
-// registry is many processes that register and follow each other, in virtual time.
+// registry runs processes that register and follow each other.
 type registry struct {
 	store keyed.Store
 	views []*presence.View
@@ -30,14 +30,14 @@
 			Box: graniteknot.BoxName(fmt.Sprint("b", i)), Role: role, Zone: "z", PeerAddress: graniteknot.Address(fmt.Sprintf("127.0.0.1:%d", 1000+i)),
 			RequestAddress: graniteknot.Address(fmt.Sprintf("127.0.0.2:%d", 1000+i)), Target: graniteknot.Address(fmt.Sprintf("127.0.0.3:%d", 1000+i)), Incarnation: graniteknot.Incarnation(i + 1),
 		}
-		x := &presence.Registrar{Store: &r.store, Self: self, View: view, Health: &watch.Health{}}
-		r.run.Go(x.Register)
-		r.run.Go(x.Follow)
+		registrar := &presence.Registrar{Store: &r.store, Self: self, View: view, Health: &watch.Health{}}
+		r.run.Go(registrar.Register)
+		r.run.Go(registrar.Follow)
 		r.run.Go(func(ctx context.Context) { r.sendHeartbeats(ctx, view) })
 	}
 }
 
-// sendHeartbeats keeps all that a view knows alive.
+// sendHeartbeats applies heartbeats of all members that a view knows, so that they stay alive.
 func (r *registry) sendHeartbeats(ctx context.Context, v *presence.View) {
 	for ctx.Err() == nil {
 		time.Sleep(presence.HeartbeatInterval)
@@ -49,7 +49,7 @@
 	}
 }
 
-// countRecords counts the members that the store has a record of.
+// countRecords returns the number of member records in the store.
 func (r *registry) countRecords(t *testing.T) int {
 	t.Helper()
 	page, err := r.store.Newest(context.Background(), graniteknot.TopicMembers)
@@ -59,9 +59,9 @@
 	return len(page.Records)
 }
 
-// TestRestoreCostsFewCalls has the store come back from a copy without a fifth of 60 processes,
-// twice in a row: all have records again within 5 s, and the calls of each drill are no more
-// than twice those of a store that forgets its history, after which all read anew as well.
+// TestRestoreCostsFewCalls restores the store twice from a copy that lacks a fifth of 60
+// processes. All must have records again within 10 s, with at most twice the calls that follow
+// a trimmed history, after which all processes read anew as well, or two calls per process.
 func TestRestoreCostsFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const gateways, sidecars, late, settled = 12, 36, 12, 10 * time.Second
@@ -70,25 +70,25 @@
 		r.add(presence.RoleGateway, gateways)
 		r.add(presence.RoleSidecar, sidecars)
 		time.Sleep(settled)
-		dated := r.store.Copy()
+		backup := r.store.Copy()
 		r.add(presence.RoleSidecar, late)
 		time.Sleep(settled)
-		calls := func(what func(), within time.Duration) int {
+		calls := func(do func(), within time.Duration) int {
 			before := r.store.Calls()
-			what()
+			do()
 			time.Sleep(within)
 			return r.store.Calls() - before
 		}
 		quiet := calls(func() {}, settled)
-		reconnect := calls(func() { r.store.Trim(graniteknot.TopicMembers) }, settled) - quiet
-		for drill := range 2 {
-			cost := calls(func() { r.store.Restore(dated) }, settled) - quiet
+		resync := calls(func() { r.store.Trim(graniteknot.TopicMembers) }, settled) - quiet
+		for restore := range 2 {
+			cost := calls(func() { r.store.Restore(backup) }, settled) - quiet
 			if n := r.countRecords(t); n != gateways+sidecars+late {
-				t.Errorf("drill %d: %d of %d processes have a record", drill, n, gateways+sidecars+late)
+				t.Errorf("restore %d: %d of %d processes have a record", restore, n, gateways+sidecars+late)
 			}
-			t.Logf("drill %d: %d calls, a reconnect %d, quiet %d", drill, cost, reconnect, quiet)
-			if cost > 2*max(reconnect, gateways+sidecars+late) {
-				t.Errorf("drill %d: %d calls, %d for a reconnect", drill, cost, reconnect)
+			t.Logf("restore %d: %d calls, %d after a trim, %d while idle", restore, cost, resync, quiet)
+			if cost > 2*max(resync, gateways+sidecars+late) {
+				t.Errorf("restore %d: %d calls, %d after a trim", restore, cost, resync)
 			}
 		}
 	})
--- a/internal/core/presence/socket.go
+++ b/internal/core/presence/socket.go
@@ -12,48 +12,49 @@
 	"graniteknot.org/go/internal/hostnet"
 )
 
-// maxDatagram is the maxDatagram datagram that is read.
+// maxDatagram is the size of the largest datagram that is read.
 const maxDatagram = 2048
 
-// Socket sends and takes datagrams. Make it with Listen.
+// Socket sends and receives datagrams. Create it with Listen or NewSocket.
 type Socket struct {
-	box  graniteknot.BoxName
-	born graniteknot.Incarnation
-	conn graniteknot.PacketConn
-	// sequence counts the datagrams of this life.
+	box         graniteknot.BoxName
+	incarnation graniteknot.Incarnation
+	conn        graniteknot.PacketConn
+	// sequence counts the datagrams of this incarnation.
 	sequence atomic.Uint64
-	// sent and received count bytes of datagrams.
+	// sent and received count the bytes of datagrams.
 	sent, received atomic.Uint64
 	group          group.Group
-	// pending are the own questions; answer answers others'.
+	// pending are the own queries; queryHandler handles those of others.
 	pending      pendingQueries
 	queryHandler atomic.Pointer[func(context.Context, QueryKind, []byte) ([]byte, error)]
 
-	// malformed tells of datagrams that can't be read.
+	// malformed logs datagrams that can't be decoded.
 	malformed eventlog.Sparse
 
 	mu sync.Mutex
-	// parsedAddresses keeps addresses that were parsedAddresses.
+	// parsedAddresses caches parsed addresses.
 	parsedAddresses map[graniteknot.Address]netip.AddrPort
 }
 
-// Listen opens a socket on the machine's own network and hands each datagram to take.
-func Listen(ctx context.Context, a graniteknot.Address, box graniteknot.BoxName, born graniteknot.Incarnation, log *eventlog.Log, take func(*Message)) (*Socket, error) {
+// Listen opens a socket on the host's network. It passes each message to handle, except
+// queries and replies.
+func Listen(ctx context.Context, a graniteknot.Address, box graniteknot.BoxName, incarnation graniteknot.Incarnation, log *eventlog.Log, handle func(*Message)) (*Socket, error) {
 	conn, err := hostnet.Network{}.ListenPacket(ctx, a)
 	if err != nil {
 		return nil, err
 	}
-	return NewSocket(conn, box, born, log, take), nil
+	return NewSocket(conn, box, incarnation, log, handle), nil
 }
 
-// NewSocket returns a socket that hands each datagram of a connection to take.
-func NewSocket(conn graniteknot.PacketConn, box graniteknot.BoxName, born graniteknot.Incarnation, log *eventlog.Log, take func(*Message)) *Socket {
-	s := &Socket{box: box, born: born, conn: conn, parsedAddresses: map[graniteknot.Address]netip.AddrPort{}}
-	s.group.Go(func(context.Context) { s.read(log, take) })
+// NewSocket returns a socket on an open connection; see Listen.
+func NewSocket(conn graniteknot.PacketConn, box graniteknot.BoxName, incarnation graniteknot.Incarnation, log *eventlog.Log, handle func(*Message)) *Socket {
+	s := &Socket{box: box, incarnation: incarnation, conn: conn, parsedAddresses: map[graniteknot.Address]netip.AddrPort{}}
+	s.group.Go(func(context.Context) { s.read(log, handle) })
 	return s
 }
 
-func (s *Socket) read(log *eventlog.Log, take func(*Message)) {
+func (s *Socket) read(log *eventlog.Log, handle func(*Message)) {
 	buffer := make([]byte, maxDatagram)
 	for {
 		n, from, err := s.conn.ReadFromUDPAddrPort(buffer)
@@ -72,13 +73,13 @@
 		case m.Reply != nil:
 			s.pending.deliver(m.Reply)
 		default:
-			take(m)
+			handle(m)
 		}
 	}
 }
 
-// Send sends a message to some addresses. Datagrams may be lost, so a failure
-// to send one is not told either.
+// Send sends a message to each address. Datagrams may be lost, so that send errors are not
+// reported either.
 func (s *Socket) Send(m Message, to []graniteknot.Address) {
 	b, err := s.encode(&m)
 	if err != nil {
@@ -92,7 +93,7 @@
 	}
 }
 
-// sendTo sends a message to where one came from.
+// sendTo sends a message to a parsed address.
 func (s *Socket) sendTo(m Message, to netip.AddrPort) {
 	b, err := s.encode(&m)
 	if err != nil {
@@ -102,9 +103,9 @@
 	_, _ = s.conn.WriteToUDPAddrPort(b, to)
 }
 
-// encode completes a message.
+// encode sets the header fields of a message and encodes it.
 func (s *Socket) encode(m *Message) ([]byte, error) {
-	m.Box, m.Incarnation, m.Sequence = s.box, s.born, s.sequence.Add(1)
+	m.Box, m.Incarnation, m.Sequence = s.box, s.incarnation, s.sequence.Add(1)
 	return encode(m)
 }
 
@@ -122,15 +123,15 @@
 	return parsed, true
 }
 
-// Address is where the socket takes datagrams.
+// Address returns the address on which the socket receives datagrams.
 func (s *Socket) Address() graniteknot.Address {
 	return graniteknot.Address(s.conn.LocalAddr().String())
 }
 
-// Bytes counts the bytes sent and received.
+// Bytes returns the number of bytes sent and received.
 func (s *Socket) Bytes() (sent, received uint64) { return s.sent.Load(), s.received.Load() }
 
-// Close closes the socket and waits for its reader.
+// Close closes the socket and waits for its goroutines.
 func (s *Socket) Close() {
 	_ = s.conn.Close()
 	s.group.Stop()
--- a/internal/core/presence/view.go
+++ b/internal/core/presence/view.go
@@ -15,50 +15,51 @@
 )
 
 const (
-	// HeartbeatInterval is the time between two datagrams of a gateway to another.
+	// HeartbeatInterval is the time between two datagrams of a gateway to another one.
 	HeartbeatInterval = 400 * time.Millisecond
-	// heartbeatTimeout is how long a member that was heard may be silent and still be
-	// taken for alive: three datagrams and a bit.
+	// heartbeatTimeout is for how long a silent member still counts as alive: three
+	// heartbeats and some slack.
 	heartbeatTimeout = 1500 * time.Millisecond
-	// firstHeartbeatTimeout is how long a member counts as alive that was never heard.
+	// firstHeartbeatTimeout is for how long a member that was never heard counts as alive.
 	firstHeartbeatTimeout = time.Second
 )
 
-// View is what a process knows of the members. The zero value is empty.
+// View is a process's view of the membership. The zero value is empty.
 type View struct {
 	mu    sync.Mutex
 	peers map[graniteknot.BoxName]*peer
-	// configVersion is the newest version of the configuration that a member said it
-	// has. It never falls, since versions do not.
+	// configVersion is the newest configuration version that a member reported. It never
+	// decreases, as versions do not.
 	configVersion uint64
-	// lastBundle is when a relay last lastBundle something, or this relay was; zero for never.
-	lastBundle time.Time
-	// storeLostChanges counts the changes of what members say of the store.
+	// lastRelayUpdate is when the last bundle arrived or, on a relay, the last message of a
+	// gateway; zero is never.
+	lastRelayUpdate time.Time
+	// storeLostChanges counts changes of the members' storeLost.
 	storeLostChanges uint64
-	// relaying tells that this process is a relay.
+	// relaying is whether this process is a relay.
 	relaying bool
-	// ownPosition is the position of the own record; nil before it is written.
+	// ownPosition is the position of the own record in the store; nil before it is known.
 	ownPosition *graniteknot.Position
 }
 
-// SetOwnPosition notes the position of the own record.
+// SetOwnPosition sets the position of the own record in the store.
 func (v *View) SetOwnPosition(at graniteknot.Position) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.ownPosition = &at
 }
 
-// NewestConfigVersion returns the newest version of the configuration that any other
-// process said it has; 0 when none did.
+// NewestConfigVersion returns the newest configuration version that any other process
+// reported; 0 if none did.
 func (v *View) NewestConfigVersion() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.configVersion
 }
 
-// Put takes in what a member tells of itself. It returns false when the life is
-// known. Lives are told apart but not ordered, since no clock of the day and no
-// counter survives a process: the store's order decides.
+// Put adds or updates a member from its own description. It returns false if the incarnation
+// is known. Incarnations are distinguished but not ordered, since neither a wall clock nor a
+// counter is reliable across restarts: the order of records in the store decides.
 func (v *View) Put(m Member, now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -69,8 +70,8 @@
 	return v.put(m, at, now)
 }
 
-// PutRecord takes in a member's record at a position of the store, unless a later one is
-// known. It returns false when the life is known.
+// PutRecord adds or updates a member from its record at a position of the store, unless a
+// later one is known. It returns false if the incarnation is known.
 func (v *View) PutRecord(m Member, at graniteknot.Position, now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -80,6 +81,7 @@
 	return v.put(m, at, now)
 }
 
+// put implements Put and PutRecord. The caller holds v.mu.
 func (v *View) put(m Member, at graniteknot.Position, now time.Time) bool {
 	if v.peers == nil {
 		v.peers = map[graniteknot.BoxName]*peer{}
@@ -88,13 +90,13 @@
 		old.position = at
 		return false
 	}
-	// A new member counts as ready until its first datagram is due.
+	// A new member counts as ready until its first datagram is overdue.
 	v.peers[m.Box] = &peer{Member: m, position: at, ready: true, lastHeard: now.Add(firstHeartbeatTimeout - heartbeatTimeout)}
 	return true
 }
 
-// Digest is a sum of all lives that are known, the own one included: the same for all
-// who know the same.
+// Digest returns a hash of all known members and their incarnations, the own one included. It
+// is the same for all processes that know the same.
 func (v *View) Digest(self Member) uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -111,8 +113,7 @@
 	return xxhash.Sum64String(string(m.Box) + "\x00" + strconv.FormatUint(uint64(m.Incarnation), 10))
 }
 
-// records returns the records of all members, the own one included, in order of their
-// names.
+// records returns the records of all members, the own one included, ordered by box.
 func (v *View) records(self Member) []graniteknot.KeyedRecord {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -136,15 +137,15 @@
 	return out
 }
 
-// Remove forgets a member.
+// Remove removes a member.
 func (v *View) Remove(box graniteknot.BoxName) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	delete(v.peers, box)
 }
 
-// ApplyMessage notes a datagram of a member. One that tells who sent it makes the
-// member known, also while the store is away. It returns whether the life is new.
+// ApplyMessage updates the view from a member's message. One that describes its sender adds
+// it, also while the store is unavailable. It returns whether the incarnation is new.
 func (v *View) ApplyMessage(m *Message, now time.Time) (fresh bool) {
 	if m.Self != nil {
 		fresh = v.Put(*m.Self, now)
@@ -164,22 +165,22 @@
 		p.relayHeard = now
 	}
 	if v.relaying && p.Role == RoleGateway {
-		v.lastBundle = now
+		v.lastRelayUpdate = now
 	}
 	return fresh
 }
 
-// Members returns all members of a role, but for one box, ordered by name.
-func (v *View) Members(role Role, but graniteknot.BoxName) []Member {
-	return v.members(role, but, func(*peer) bool { return true })
+// Members returns all members of a role, except one box, ordered by box.
+func (v *View) Members(role Role, except graniteknot.BoxName) []Member {
+	return v.members(role, except, func(*peer) bool { return true })
 }
 
-func (v *View) members(role Role, but graniteknot.BoxName, are func(*peer) bool) []Member {
+func (v *View) members(role Role, except graniteknot.BoxName, matches func(*peer) bool) []Member {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var out []Member
 	for _, p := range v.peers {
-		if p.Role == role && p.Box != but && are(p) {
+		if p.Role == role && p.Box != except && matches(p) {
 			out = append(out, p.Member)
 		}
 	}
@@ -187,7 +188,8 @@
 	return out
 }
 
-// PeerAddress returns where a member takes datagrams; false when it is not known.
+// PeerAddress returns the address at which a member receives datagrams; false if the member
+// is unknown.
 func (v *View) PeerAddress(box graniteknot.BoxName) (graniteknot.Address, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -198,13 +200,13 @@
 	return p.PeerAddress, true
 }
 
-// ReadyMembers returns the members of a role that were heard of late and are ready,
-// but for one box, ordered by name.
-func (v *View) ReadyMembers(role Role, but graniteknot.BoxName, now time.Time) []Member {
-	return v.members(role, but, func(p *peer) bool { return p.ready && v.isAlive(p, now) })
+// ReadyMembers returns the members of a role that are alive and ready, except one box, ordered
+// by box.
+func (v *View) ReadyMembers(role Role, except graniteknot.BoxName, now time.Time) []Member {
+	return v.members(role, except, func(p *peer) bool { return p.ready && v.isAlive(p, now) })
 }
 
-// setStoreLost notes whether the store answers a member; called with the lock held.
+// setStoreLost sets whether a member can't reach the store. The caller holds v.mu.
 func (v *View) setStoreLost(p *peer, lost bool) {
 	if p.storeLost != lost {
 		p.storeLost = lost
@@ -212,14 +214,14 @@
 	}
 }
 
-// StoreLostChanges counts how often members told that the store does not answer them, or does again.
+// StoreLostChanges returns how often the result of StoreLost has changed over all members.
 func (v *View) StoreLostChanges() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.storeLostChanges
 }
 
-// StoreLost tells whether a member said that the store does not answer it.
+// StoreLost tells whether a member reported that it can't reach the store.
 func (v *View) StoreLost(box graniteknot.BoxName) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -227,8 +229,8 @@
 	return p != nil && p.storeLost
 }
 
-// AliveMembers returns the members of a role that were heard of late, ready or not, but for
-// one box, ordered by name.
-func (v *View) AliveMembers(role Role, but graniteknot.BoxName, now time.Time) []Member {
-	return v.members(role, but, func(p *peer) bool { return v.isAlive(p, now) })
+// AliveMembers returns the members of a role that are alive, ready or not, except one box,
+// ordered by box.
+func (v *View) AliveMembers(role Role, except graniteknot.BoxName, now time.Time) []Member {
+	return v.members(role, except, func(p *peer) bool { return v.isAlive(p, now) })
 }
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -207,7 +207,7 @@
 	},
 	{
 		Name: "parts of a superseded record set are served from the newest one", File: "internal/core/presence/pack_cache.go",
-		Old: "if digest == 0 {", New: "if digest != 0 || len(s.packs) > 0 {",
+		Old: "if digest == 0 {", New: "if digest != 0 || len(c.packs) > 0 {",
 		Package: "internal/core/presence", Test: "TestFetchWhileRecordsChange", Says: "malformed",
 	},
 	{
