--- a/internal/core/readers/readers.go
+++ b/internal/core/readers/readers.go
@@ -1,6 +1,6 @@
-// Package readers decides which gateways read the platform's store for all others. Each
-// process decides for itself, from whom it knows; two that differ in that have one gateway too
-// many read for a moment, or wait for one that does not.
+// Package readers selects the gateways that read the platform's store on behalf of all
+// others. Each process computes the selection from its own view of the members. While views
+// differ, a gateway too many may read, or a process may wait for one that does not.
 package readers
 
 import (
@@ -13,23 +13,23 @@
 	"graniteknot.org/go/internal/core/presence"
 )
 
-// placed is a gateway with its place in the order.
-type placed struct {
-	member presence.Member
-	lost   bool
-	hash   uint64
+// rankedGateway is a gateway with its sort keys.
+type rankedGateway struct {
+	member    presence.Member
+	storeLost bool
+	hash      uint64
 }
 
-// Order returns the gateways in the order in which they read, the same for all who know the
-// same: by a hash of the box, which spreads them over the availability zones. Those that the
-// store does not answer come last.
-func Order(all []presence.Member, lost func(graniteknot.BoxName) bool) []presence.Member {
-	list := make([]placed, len(all))
+// Order returns the gateways by priority as readers, the same for all processes that know the
+// same members: by a hash of the box, which spreads readers over the availability zones.
+// Gateways that can't reach the store come last.
+func Order(all []presence.Member, storeLost func(graniteknot.BoxName) bool) []presence.Member {
+	list := make([]rankedGateway, len(all))
 	for i, m := range all {
-		list[i] = placed{m, lost(m.Box), xxhash.Sum64String(string(m.Box))}
+		list[i] = rankedGateway{m, storeLost(m.Box), xxhash.Sum64String(string(m.Box))}
 	}
-	slices.SortFunc(list, func(a, b placed) int {
-		return cmp.Or(compareBool(a.lost, b.lost), cmp.Compare(a.hash, b.hash))
+	slices.SortFunc(list, func(a, b rankedGateway) int {
+		return cmp.Or(compareBool(a.storeLost, b.storeLost), cmp.Compare(a.hash, b.hash))
 	})
 	out := make([]presence.Member, len(list))
 	for i := range list {
@@ -38,7 +38,7 @@
 	return out
 }
 
-// compareBool puts false before true.
+// compareBool orders false before true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
--- a/internal/core/readers/readers_test.go
+++ b/internal/core/readers/readers_test.go
@@ -9,24 +9,24 @@
 	"graniteknot.org/go/internal/core/readers"
 )
 
-// TestLostGatewaysReadLast puts those that the store does not answer behind all others, and
-// else keeps the order, whoever is asked.
-func TestLostGatewaysReadLast(t *testing.T) {
+// TestStoreLostGatewaysOrderedLast checks that gateways that can't reach the store come last and
+// that the order is otherwise unchanged.
+func TestStoreLostGatewaysOrderedLast(t *testing.T) {
 	var all []presence.Member
 	for i := range 20 {
 		all = append(all, presence.Member{Box: graniteknot.BoxName(strconv.Itoa(i))})
 	}
-	nobody := func(graniteknot.BoxName) bool { return false }
-	usual := readers.Order(all, nobody)
-	gone := map[graniteknot.BoxName]bool{usual[0].Box: true, usual[2].Box: true}
-	now := readers.Order(all, func(b graniteknot.BoxName) bool { return gone[b] })
-	if now[0] != usual[1] || now[1] != usual[3] || now[18] != usual[0] || now[19] != usual[2] {
-		t.Errorf("%v, usually %v", now, usual)
+	none := func(graniteknot.BoxName) bool { return false }
+	normal := readers.Order(all, none)
+	lost := map[graniteknot.BoxName]bool{normal[0].Box: true, normal[2].Box: true}
+	got := readers.Order(all, func(b graniteknot.BoxName) bool { return lost[b] })
+	if got[0] != normal[1] || got[1] != normal[3] || got[18] != normal[0] || got[19] != normal[2] {
+		t.Errorf("got order %v, without failures %v", got, normal)
 	}
-	everybody := readers.Order(all, func(graniteknot.BoxName) bool { return true })
+	allLost := readers.Order(all, func(graniteknot.BoxName) bool { return true })
 	for i := range all {
-		if everybody[i] != usual[i] {
-			t.Errorf("place %d: %v, usually %v", i, everybody[i], usual[i])
+		if allLost[i] != normal[i] {
+			t.Errorf("place %d: got %v, without failures %v", i, allLost[i], normal[i])
 		}
 	}
 }
--- a/internal/core/readers/standing_test.go
+++ b/internal/core/readers/topic_status_test.go
@@ -7,8 +7,9 @@
 	"graniteknot.org/go/internal/core/readers"
 )
 
-// FuzzStanding reads any bytes, and reads again what it writes of them; an age is rounded up.
-func FuzzStanding(f *testing.F) {
+// FuzzTopicStatus decodes arbitrary bytes, and encodes and decodes the result again, which rounds
+// the age up.
+func FuzzTopicStatus(f *testing.F) {
 	for _, s := range []readers.TopicStatus{{}, {State: 7, Age: time.Second, StoreHealthy: true, Reader: "entry-1"}} {
 		f.Add(s.Encode())
 	}
@@ -24,7 +25,7 @@
 			return
 		}
 		if err != nil || again != s {
-			t.Errorf("%+v, again %+v, %v", s, again, err)
+			t.Errorf("decoded %+v, then %+v, %v", s, again, err)
 		}
 	})
 }
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -201,8 +201,8 @@
 		Package: "internal/core/fleet", Test: "TestWordOfALifeThatIsNotYetKnown",
 	},
 	{
-		Name: "a gateway that has lost the store reads for others", File: "internal/core/readers/readers.go",
-		Old: "compareBool(a.lost, b.lost), ", New: "",
+		Name: "a gateway that can't reach the store is preferred as a reader", File: "internal/core/readers/readers.go",
+		Old: "compareBool(a.storeLost, b.storeLost), ", New: "",
 		Package: "internal/core/gateway", Test: "TestVersionsAreInForceInTimeThoughReadersAreTurnedAway", Says: "came into force",
 	},
 	{
