--- a/internal/core/watch/follower.go
+++ b/internal/core/watch/follower.go
@@ -12,105 +12,107 @@
 )
 
 const (
-	// firstRetry and longestRetry bound the pause after a failed call, which
-	// doubles. Calls are dear, and a key must not be trusted for long.
-	firstRetry   = 100 * time.Millisecond
-	longestRetry = 500 * time.Millisecond
-	// urgentPause is the time between two looks while something is known to have
-	// changed: some seven a second, for the seconds in which replicas register.
-	urgentPause = 150 * time.Millisecond
-	// patienceSteps is in how many steps, each twice as long, a call that failed is waited for:
-	// most of them leave time to ask others.
-	patienceSteps = 3
+	// minRetryDelay and maxRetryDelay bound the backoff after failed calls, which doubles. Calls
+	// are expensive, but a key must not be trusted for long without one.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 500 * time.Millisecond
+	// changePendingPause is the time between two reads while a change is known to be pending:
+	// some seven reads per second during the seconds in which replicas register.
+	changePendingPause = 150 * time.Millisecond
+	// timeoutSteps is the number of failures after which the timeout of a call, whose margin
+	// doubles with each failure, starts from its minimum again: most timeouts leave time to
+	// query other processes.
+	timeoutSteps = 3
 )
 
-// Follower follows one topic. Set the exported fields.
+// Follower follows one topic of the store. Set the exported fields; functions and Wake may be
+// nil, except OnNewest and OnNext.
 type Follower struct {
 	Store  graniteknot.KeyedStore
 	Topic  graniteknot.Topic
 	Health *Health
-	// Clock is what the age of what was read is decided by.
+	// Clock measures the age of reads.
 	Clock graniteknot.AgeClock
-	// PollWait is how long a read waits for a record; WaitNow tells it anew for each read where it
-	// is set.
+	// PollWait is how long a read waits for a record; PollWaitFunc, if set, overrides it for
+	// each read.
 	PollWait     time.Duration
 	PollWaitFunc func() time.Duration
-	// MinReadInterval is the least time between the begins of two reads, so that a writer of
-	// records that nobody can use does not have the store read with each of them.
+	// MinReadInterval is the minimum time between the starts of two reads. It bounds the rate of
+	// reads that a writer of useless records can cause.
 	MinReadInterval time.Duration
-	// ReadPause is the time between two reads.
+	// ReadPause is the time from the end of a read to the start of the next one.
 	ReadPause time.Duration
-	// OnNewest takes the newest record of each key, Next records that follow, of
-	// which there may be none; the read that returned them began at the time.
+	// OnNewest receives the newest record of each key, OnNext the records that follow, of which
+	// there may be none, each with the start of the read that returned them.
 	OnNewest func(records []graniteknot.KeyedRecord, began time.Time)
 	OnNext   func(records []graniteknot.KeyedRecord, began time.Time)
-	// Revalidate tells whether another process proves that nothing has changed
-	// since the last read, or hands on what has; then the store is not asked, and the
-	// next look comes after RevalidatePause. Nil where nobody does.
+	// Revalidate tells whether another process confirmed that nothing has changed since the
+	// last read, or supplied the changes. The store is not read then, and the next check
+	// follows after RevalidateInterval.
 	Revalidate         func(ctx context.Context) bool
 	RevalidateInterval time.Duration
-	// ChangePending tells that something is known to have changed; then the next look comes
-	// after urgentPause, whoever is asked. Nil for never.
+	// ChangePending tells that a change is known to be pending. The next read or revalidation
+	// follows after changePendingPause at the latest then.
 	ChangePending func() bool
-	// RevalidateFirst has others asked also before the first read.
+	// RevalidateFirst calls Revalidate also before the first read.
 	RevalidateFirst bool
-	// FetchFromPeer takes the newest records from another process, after a call to the
-	// store that failed; false when none has others. Nil where nobody does.
+	// FetchFromPeer fetches the newest records from another process after a failed call to the
+	// store. It returns false if none supplies any.
 	FetchFromPeer func(ctx context.Context) bool
-	// OnFailure notes a failed call; nil for nothing.
+	// OnFailure is called after a failed call.
 	OnFailure func(err error)
 
-	// OnRestore notes that the store has come back from an older copy, before its newest
-	// records are taken; nil for nothing.
+	// OnRestore is called when the store was restored from an older copy, before OnNewest.
 	OnRestore func(graniteknot.Era)
-	// DetectLoss has calls that fail or are overdue count as the loss of the store.
+	// DetectLoss gives calls a timeout and makes failed and overdue ones count as the loss of
+	// the store; see Health.Lost.
 	DetectLoss bool
-	// Wake ends the pause after another process has proved what is known; nil for never.
+	// Wake ends the wait after a revalidation.
 	Wake <-chan struct{}
 
-	// begun tells that the newest records were read once; synced that records are
-	// read on from there.
-	begun, synced bool
-	from          graniteknot.Position
-	// read tells that from is where a read of this process ended.
-	read  bool
-	retry time.Duration
-	// cut tells that the last call was given up as soon as it was overdue, failures how many
-	// calls in a row failed.
-	cut      bool
-	failures int
-	// revalidated tells that the last look did not ask the store.
+	// initialized tells that the newest records were obtained once; synced that reads continue
+	// from position.
+	initialized, synced bool
+	position            graniteknot.Position
+	// positionRead tells that position is the end of a read of this process.
+	positionRead bool
+	retryDelay   time.Duration
+	// lastOverdue tells that the last call was cancelled as soon as it was overdue; failures is
+	// the number of consecutive failed calls.
+	lastOverdue bool
+	failures    int
+	// revalidated tells that the last check was a revalidation.
 	revalidated bool
 }
 
 // Run follows the topic until ctx is done.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if f.Revalidate != nil && (f.begun || f.RevalidateFirst) && f.Revalidate(ctx) {
+		if f.Revalidate != nil && (f.initialized || f.RevalidateFirst) && f.Revalidate(ctx) {
 			f.revalidated = true
-			f.sleep(ctx, f.pause(f.RevalidateInterval))
+			f.sleep(ctx, f.nextPause(f.RevalidateInterval))
 			continue
 		}
 		if f.revalidated {
-			// The records since the last read may be many, the newest ones are few.
+			// The newest records of all keys may be far fewer than those since the last read.
 			f.revalidated, f.synced = false, false
 		}
 		began := time.Now()
-		pause := f.pause(f.ReadPause)
+		pause := f.nextPause(f.ReadPause)
 		switch err := f.step(ctx); {
 		case err == nil || ctx.Err() != nil:
 		case errors.Is(err, errOverdue):
-			f.elsewhere(ctx)
+			f.fetchFromPeer(ctx)
 			continue
 		default:
-			pause = f.failed(err)
-			f.elsewhere(ctx)
+			pause = f.retryAfter(err)
+			f.fetchFromPeer(ctx)
 		}
 		delay.For(ctx, max(pause, f.MinReadInterval-time.Since(began)))
 	}
 }
 
-// sleep waits for a time, or until the follower is woken.
+// sleep waits for a duration or until Wake.
 func (f *Follower) sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -121,19 +123,19 @@
 	}
 }
 
-// pause is the time until the next look where it is usually so long.
-func (f *Follower) pause(usual time.Duration) time.Duration {
+// nextPause returns a pause, shortened if a change is pending.
+func (f *Follower) nextPause(pause time.Duration) time.Duration {
 	if f.ChangePending != nil && f.ChangePending() {
-		return min(usual, urgentPause)
+		return min(pause, changePendingPause)
 	}
-	return usual
+	return pause
 }
 
-// elsewhere asks other processes for the records. From then on they can prove that
-// these are the newest, as they can of records that the store gave.
-func (f *Follower) elsewhere(ctx context.Context) {
+// fetchFromPeer fetches the records from another process. From then on these can be
+// revalidated, as records of the store can.
+func (f *Follower) fetchFromPeer(ctx context.Context) {
 	if f.FetchFromPeer != nil && f.FetchFromPeer(ctx) {
-		f.begun = true
+		f.initialized = true
 	}
 }
 
@@ -143,30 +145,30 @@
 	if !f.synced {
 		page, err := f.newest(ctx, began)
 		if err != nil {
-			return f.note(ctx, began, err)
+			return f.recordFailure(ctx, began, err)
 		}
-		f.good()
-		if f.read && page.End.Era() > f.from.Era() {
-			f.renewed(page.End.Era())
+		f.recordSuccess()
+		if f.positionRead && page.End.Era() > f.position.Era() {
+			f.handleRestore(page.End.Era())
 		}
-		f.begun, f.synced, f.read, f.from = true, true, true, page.End
+		f.initialized, f.synced, f.positionRead, f.position = true, true, true, page.End
 		f.OnNewest(page.Records, began)
 		return nil
 	}
 	page, err := f.next(ctx, began)
 	if errors.Is(err, graniteknot.ErrTrimmed) || errors.Is(err, graniteknot.ErrEra) {
-		f.good()
+		f.recordSuccess()
 		f.synced = false
 		return nil
 	}
 	if err != nil {
-		return f.note(ctx, began, err)
+		return f.recordFailure(ctx, began, err)
 	}
-	f.good()
-	if page.Through > f.from {
-		f.from = page.Through
-	} else if page.End < f.from {
-		// The topic was begun anew, by a store that tells no eras.
+	f.recordSuccess()
+	if page.Through > f.position {
+		f.position = page.Through
+	} else if page.End < f.position {
+		// A store that does not report eras recreated the topic.
 		f.synced = false
 		return nil
 	}
@@ -174,8 +176,8 @@
 	return nil
 }
 
-// errOverdue is a call that was given up because its answer was overdue. It is made once more,
-// on another connection, before it counts as failed.
+// errOverdue is returned for a call that was cancelled because its answer was overdue. The call
+// is retried once, on another connection, before it counts as failed.
 var errOverdue = errors.New("overdue")
 
 // newest reads the newest records.
@@ -183,45 +185,46 @@
 	return f.call(ctx, began, 0, func(ctx context.Context) (graniteknot.KeyedPage, error) { return f.Store.Newest(ctx, f.Topic) })
 }
 
-// next reads on.
+// next reads the records that follow.
 func (f *Follower) next(ctx context.Context, began time.Time) (graniteknot.KeyedPage, error) {
-	wait := f.wait()
+	wait := f.pollWait()
 	return f.call(ctx, began, wait, func(ctx context.Context) (graniteknot.KeyedPage, error) {
-		return f.Store.Read(ctx, f.Topic, f.from, wait)
+		return f.Store.Read(ctx, f.Topic, f.position, wait)
 	})
 }
 
-// call makes a call that waits for at most a time.
+// call makes a call that asks the store to wait for at most a duration. With DetectLoss it has
+// a timeout, and Health tracks it.
 func (f *Follower) call(ctx context.Context, began time.Time, wait time.Duration, do func(context.Context) (graniteknot.KeyedPage, error)) (graniteknot.KeyedPage, error) {
 	if !f.DetectLoss {
-		return f.long(ctx, do)
+		return f.callUnbounded(ctx, do)
 	}
-	bounded, cancel := context.WithTimeout(ctx, wait+f.Health.OverdueMargin()<<(f.failures%patienceSteps))
+	bounded, cancel := context.WithTimeout(ctx, wait+f.Health.OverdueMargin()<<(f.failures%timeoutSteps))
 	defer cancel()
 	f.Health.BeginCall(f.Topic, began, wait)
 	page, err := do(bounded)
 	first := f.failures == 0
-	f.cut = first && err != nil && bounded.Err() != nil && ctx.Err() == nil
-	if f.cut {
+	f.lastOverdue = first && err != nil && bounded.Err() != nil && ctx.Err() == nil
+	if f.lastOverdue {
 		f.failures++
 		f.Health.EndCall(f.Topic, false, 0)
 		return page, errOverdue
 	}
 	if len(page.Records) > 0 && wait > 0 {
-		// When the record came that it waited for is not known.
+		// It is not known how long the call waited before the record arrived.
 		wait = f.Clock.Since(began)
 	}
-	f.ended(began, wait, err)
+	f.endCall(began, wait, err)
 	return page, err
 }
 
-// long makes a call that may wait for long. It is given up when the store answers other calls
-// again after it did not: its own answer may be lost.
-func (f *Follower) long(ctx context.Context, do func(context.Context) (graniteknot.KeyedPage, error)) (graniteknot.KeyedPage, error) {
+// callUnbounded makes a call without a timeout. It cancels the call when the store answers other
+// calls again after an outage, since its own answer may be lost.
+func (f *Follower) callUnbounded(ctx context.Context, do func(context.Context) (graniteknot.KeyedPage, error)) (graniteknot.KeyedPage, error) {
 	regained := f.Health.Regained()
 	inner, cancel := context.WithCancel(ctx)
-	var watcher group.Group
-	watcher.Go(func(context.Context) {
+	var canceller group.Group
+	canceller.Go(func(context.Context) {
 		select {
 		case <-regained:
 			cancel()
@@ -229,40 +232,40 @@
 		}
 	})
 	page, err := do(inner)
-	given := err != nil && inner.Err() != nil && ctx.Err() == nil
+	cancelled := err != nil && inner.Err() != nil && ctx.Err() == nil
 	cancel()
-	watcher.Wait()
-	if given {
+	canceller.Wait()
+	if cancelled {
 		return page, errOverdue
 	}
 	return page, err
 }
 
-// ended notes the end of a call that was asked to wait for a time.
-func (f *Follower) ended(began time.Time, wait time.Duration, err error) {
+// endCall reports the result and the latency of a call to Health; wait is how long the store
+// was asked to wait.
+func (f *Follower) endCall(began time.Time, wait time.Duration, err error) {
 	answered := err == nil || errors.Is(err, graniteknot.ErrTrimmed) || errors.Is(err, graniteknot.ErrEra)
-	took := time.Duration(0)
+	latency := time.Duration(0)
 	if err == nil {
-		took = f.Clock.Since(began) - wait
+		latency = f.Clock.Since(began) - wait
 	}
-	f.Health.EndCall(f.Topic, answered, took)
+	f.Health.EndCall(f.Topic, answered, latency)
 }
 
-// renewed acts on the store's return from an older copy. What is missing there may be
-// written again soon, as after an outage.
-func (f *Follower) renewed(era graniteknot.Era) {
-	f.Health.RecordRestore(f.Topic, f.from, era, f.Clock.Now())
+// handleRestore handles the restore of the store from an older copy. Records that it lacks may be
+// rewritten soon, as after an outage.
+func (f *Follower) handleRestore(era graniteknot.Era) {
+	f.Health.RecordRestore(f.Topic, f.position, era, f.Clock.Now())
 	if f.OnRestore != nil {
 		f.OnRestore(era)
 	}
 }
 
-// wait is how long a read waits for a record. After a failed call it does not
-// wait: a call to a store that is away is given up after its own time and the
-// wait, and one that began just before the store's return would be missing for
-// that long.
-func (f *Follower) wait() time.Duration {
-	if f.retry > 0 || f.cut {
+// pollWait returns how long a read waits for a record. After a failed call it is 0: a call to an
+// unavailable store times out after its wait and a margin, and one that starts just before the
+// store's return would delay the next records for that long.
+func (f *Follower) pollWait() time.Duration {
+	if f.retryDelay > 0 || f.lastOverdue {
 		return 0
 	}
 	if f.PollWaitFunc != nil {
@@ -271,24 +274,25 @@
 	return f.PollWait
 }
 
-func (f *Follower) good() {
-	f.retry, f.failures = 0, 0
+func (f *Follower) recordSuccess() {
+	f.retryDelay, f.failures = 0, 0
 	f.Health.RecordSuccess(f.Clock.Now())
 }
 
-func (f *Follower) note(ctx context.Context, began time.Time, err error) error {
+// recordFailure reports a failed call to Health, unless it was cancelled, and returns its error.
+func (f *Follower) recordFailure(ctx context.Context, began time.Time, err error) error {
 	if ctx.Err() == nil && !errors.Is(err, errOverdue) {
 		f.Health.RecordFailure(began, err)
 	}
 	return err
 }
 
-// failed returns how long to wait before the next call.
-func (f *Follower) failed(err error) time.Duration {
+// retryAfter handles a failed call and returns the jittered delay before the next one.
+func (f *Follower) retryAfter(err error) time.Duration {
 	if f.OnFailure != nil {
 		f.OnFailure(err)
 	}
 	f.failures++
-	f.retry = min(max(2*f.retry, firstRetry), longestRetry)
-	return f.retry/2 + time.Duration(rand.Int64N(int64(f.retry)))
+	f.retryDelay = min(max(2*f.retryDelay, minRetryDelay), maxRetryDelay)
+	return f.retryDelay/2 + time.Duration(rand.Int64N(int64(f.retryDelay)))
 }
--- a/internal/core/watch/health.go
+++ b/internal/core/watch/health.go
@@ -9,109 +9,108 @@
 	"graniteknot.org/go/internal/core/eventlog"
 )
 
-// Health knows whether the store answers this process. Set Log; the zero rest
-// works.
+// Health tracks whether the store is available to this process. Set Log; the other fields need
+// no initialization.
 type Health struct {
 	Log *eventlog.Log
 
 	mu sync.Mutex
-	// down is when the first call of the present outage began; zero while the
-	// store answers.
-	down time.Time
-	// back is when the store answered again after the last outage.
-	back time.Time
-	// renewals counts topics found in a new era.
-	renewals uint64
-	// answered is when the store answered last.
-	answered time.Time
-	// readings are the calls of followers that Vital is set for, and took how long the store
-	// needs for an answer of late.
-	readings map[graniteknot.Topic]reading
-	took     time.Duration
-	// missed tells that a call of one of these had no answer since the store last answered one;
-	// regained is closed when it does again, nil while nobody waits for that.
-	missed   bool
-	regained chan struct{}
-	// elsewhere is as of when another process, which had no trouble with the store, last read
-	// it; renewed tells that the last return was that of an older copy.
-	elsewhere time.Time
-	renewed   bool
+	// downSince is the start of the first failed call of the current outage; zero while the
+	// store is available.
+	downSince time.Time
+	// upSince is the end of the last outage.
+	upSince time.Time
+	// restores counts the times that a topic was found in a new era.
+	restores uint64
+	// lastAnswered is when the store last answered.
+	lastAnswered time.Time
+	// calls are the calls of followers with DetectLoss, and latency is the recent latency of
+	// the store.
+	calls   map[graniteknot.Topic]callState
+	latency time.Duration
+	// unanswered tells that one of these calls failed and none was answered since. regained is
+	// closed when one is; nil if nothing waits for that.
+	unanswered bool
+	regained   chan struct{}
+	// peerReadAt is the time of the last known read by another process to which the store was
+	// available; restored tells that the last outage was a restore from an older copy.
+	peerReadAt time.Time
+	restored   bool
 }
 
-// RecordSuccess notes a call that the store answered.
+// RecordSuccess records a call that the store answered.
 func (h *Health) RecordSuccess(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.answered = now
-	if h.down.IsZero() {
+	h.lastAnswered = now
+	if h.downSince.IsZero() {
 		return
 	}
-	h.Log.Info("store regained", eventlog.Milliseconds("away", now.Sub(h.down)))
-	h.down, h.back, h.renewed = time.Time{}, now, false
+	h.Log.Info("store regained", eventlog.Milliseconds("away", now.Sub(h.downSince)))
+	h.downSince, h.upSince, h.restored = time.Time{}, now, false
 }
 
-// RecordPeerRead notes that another process, which has had no trouble with the store of late, read
-// it at a time.
+// RecordPeerRead records that another process, without recent trouble with the store, read it at
+// a time.
 func (h *Health) RecordPeerRead(at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if at.After(h.elsewhere) {
-		h.elsewhere = at
+	if at.After(h.peerReadAt) {
+		h.peerReadAt = at
 	}
 }
 
-// RecordFailure notes a call that the store did not answer, or refused. One that began
-// before the store last answered, as a read that waits for long does, tells
-// nothing new.
+// RecordFailure records a call that the store refused or did not answer. A call that began before
+// the store last answered, such as a long poll, is ignored.
 func (h *Health) RecordFailure(began time.Time, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.down.IsZero() || began.Before(h.answered) {
+	if !h.downSince.IsZero() || began.Before(h.lastAnswered) {
 		return
 	}
-	h.down = began
+	h.downSince = began
 	h.Log.Warn("store lost", slog.String("error", err.Error()))
 }
 
-// RecordRestore notes that a topic was found in a new era of the store, which counts as its return
-// from an outage: records that the copy has not may be written again. The position is where
-// the former era was read to.
-func (h *Health) RecordRestore(t graniteknot.Topic, read graniteknot.Position, era graniteknot.Era, now time.Time) {
+// RecordRestore records that a topic was found in a new era of the store: the store was restored
+// from an older copy. That counts as the end of an outage, since records that the copy lacks may
+// be rewritten. readTo is the position to which the former era was read.
+func (h *Health) RecordRestore(t graniteknot.Topic, readTo graniteknot.Position, era graniteknot.Era, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.back, h.renewed = now, true
-	h.renewals++
-	h.Log.Warn("store renewed", slog.String("topic", string(t)), slog.Int64("era", int64(era)), slog.String("read_to", read.String()))
+	h.upSince, h.restored = now, true
+	h.restores++
+	h.Log.Warn("store renewed", slog.String("topic", string(t)), slog.Int64("era", int64(era)), slog.String("read_to", readTo.String()))
 }
 
-// Restores counts how often a topic was found in a new era of the store.
+// Restores returns how often a topic was found in a new era of the store.
 func (h *Health) Restores() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.renewals
+	return h.restores
 }
 
-// recently is how long before the store's return another process may have read it last for the
-// trouble to have been this process's own: about the time between two reads.
-const recently = 1500 * time.Millisecond
+// peerReadWindow is how long before the end of an outage a read by another process shows that
+// only this process was affected: about the time between two reads.
+const peerReadWindow = 1500 * time.Millisecond
 
-// RecentOutage tells whether the store is away, or was within the given time. Where it only turned
-// this process away it was not: who takes its own trouble for the store's keeps what others know
-// to be gone, and in a large deployment tells it to those that go by its word.
+// RecentOutage tells whether the store is unavailable or had an outage that ended within a
+// duration. Past outages that affected only this process don't count: a process that took them
+// for the store's would keep replicas that others know to be gone and, as a reader in a large
+// deployment, report them to others.
 func (h *Health) RecentOutage(now time.Time, within time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.down.IsZero() {
+	if !h.downSince.IsZero() {
 		return true
 	}
-	own := !h.renewed && h.elsewhere.After(h.back.Add(-recently))
-	return !h.back.IsZero() && now.Sub(h.back) < within && !own
+	localOutage := !h.restored && h.peerReadAt.After(h.upSince.Add(-peerReadWindow))
+	return !h.upSince.IsZero() && now.Sub(h.upSince) < within && !localOutage
 }
 
-// UpSince returns when the store answered again after the last outage; false while
-// it is away.
+// UpSince returns the end of the last outage, and false while the store is unavailable.
 func (h *Health) UpSince() (time.Time, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.back, h.down.IsZero()
+	return h.upSince, h.downSince.IsZero()
 }
--- a/internal/core/watch/health_test.go
+++ b/internal/core/watch/health_test.go
@@ -9,42 +9,42 @@
 	"graniteknot.org/go/internal/core/watch"
 )
 
-var errAway = errors.New("away")
+var errUnavailable = errors.New("unavailable")
 
-// TestOwnTroubleIsNotTheStores doubts vanished records after an outage, but not where another
-// process read the store just before its return; a read from before the outage shows nothing, and
-// after the return of an older copy all is doubted.
-func TestOwnTroubleIsNotTheStores(t *testing.T) {
-	const doubt = 2500 * time.Millisecond
-	began := time.Now()
-	at := func(seconds float64) time.Time { return began.Add(time.Duration(seconds * float64(time.Second))) }
+// TestLocalOutageIsNotAStoreOutage checks that an outage does not count as recent if another
+// process read the store just before its end. A read from before the outage shows nothing, and a
+// restore from an older copy always counts.
+func TestLocalOutageIsNotAStoreOutage(t *testing.T) {
+	const recent = 2500 * time.Millisecond
+	start := time.Now()
+	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 	for name, c := range map[string]struct {
-		read    float64
-		renewed bool
-		want    bool
+		read     float64
+		restored bool
+		want     bool
 	}{
-		"nobody read":                       {read: 0, want: true},
-		"another read before":               {read: 1, want: true},
-		"another read until the end":        {read: 9.2, want: false},
-		"another read, but the copy is old": {read: 9.2, renewed: true, want: true},
+		"no other read":                      {read: 0, want: true},
+		"read before the outage":             {read: 1, want: true},
+		"read just before the end":           {read: 9.2, want: false},
+		"read just before the end, restored": {read: 9.2, restored: true, want: true},
 	} {
 		h := &watch.Health{}
-		h.RecordFailure(at(2), errAway)
+		h.RecordFailure(at(2), errUnavailable)
 		if c.read > 0 {
 			h.RecordPeerRead(at(c.read))
 		}
-		if !h.RecentOutage(at(9.5), doubt) {
-			t.Errorf("%s: not doubtful while the store is away", name)
+		if !h.RecentOutage(at(9.5), recent) {
+			t.Errorf("%s: no outage while the store is unavailable", name)
 		}
 		h.RecordSuccess(at(10))
-		if c.renewed {
+		if c.restored {
 			h.RecordRestore(graniteknot.TopicReplicas, 7, 2, at(10))
 		}
-		if got := h.RecentOutage(at(10.2), doubt); got != c.want {
-			t.Errorf("%s: doubtful %v", name, got)
+		if got := h.RecentOutage(at(10.2), recent); got != c.want {
+			t.Errorf("%s: recent outage %v", name, got)
 		}
-		if h.RecentOutage(at(13), doubt) {
-			t.Errorf("%s: doubtful for too long", name)
+		if h.RecentOutage(at(13), recent) {
+			t.Errorf("%s: outage counts as recent for too long", name)
 		}
 	}
 }
--- a/internal/core/watch/metered.go
+++ b/internal/core/watch/metered.go
@@ -9,7 +9,7 @@
 	"graniteknot.org/go/internal/core/meter"
 )
 
-// MeteredStore counts the calls to a store by kind and result.
+// MeteredStore measures the calls to a store: their duration, and their number by result.
 type MeteredStore struct {
 	Store graniteknot.KeyedStore
 	Meter *meter.Meter
@@ -19,7 +19,7 @@
 func (m *MeteredStore) Newest(ctx context.Context, t graniteknot.Topic) (graniteknot.KeyedPage, error) {
 	began := time.Now()
 	page, err := m.Store.Newest(ctx, t)
-	m.note("newest", t, began, err)
+	m.observe("newest", t, began, err)
 	return page, err
 }
 
@@ -27,7 +27,7 @@
 func (m *MeteredStore) Read(ctx context.Context, t graniteknot.Topic, from graniteknot.Position, wait time.Duration) (graniteknot.KeyedPage, error) {
 	began := time.Now()
 	page, err := m.Store.Read(ctx, t, from, wait)
-	m.note("read", t, began, err)
+	m.observe("read", t, began, err)
 	return page, err
 }
 
@@ -35,7 +35,7 @@
 func (m *MeteredStore) Append(ctx context.Context, t graniteknot.Topic, r graniteknot.KeyedRecord) (graniteknot.Position, error) {
 	began := time.Now()
 	at, err := m.Store.Append(ctx, t, r)
-	m.note("append", t, began, err)
+	m.observe("append", t, began, err)
 	return at, err
 }
 
@@ -43,18 +43,18 @@
 func (m *MeteredStore) AppendAt(ctx context.Context, t graniteknot.Topic, end graniteknot.Position, r graniteknot.KeyedRecord) (graniteknot.Position, error) {
 	began := time.Now()
 	at, err := m.Store.AppendAt(ctx, t, end, r)
-	m.note("append_at", t, began, err)
+	m.observe("append_at", t, began, err)
 	return at, err
 }
 
-func (m *MeteredStore) note(op string, t graniteknot.Topic, began time.Time, err error) {
-	labels := []meter.Label{{Name: "call", Value: op}, {Name: "topic", Value: string(t)}}
+func (m *MeteredStore) observe(call string, t graniteknot.Topic, began time.Time, err error) {
+	labels := []meter.Label{{Name: "call", Value: call}, {Name: "topic", Value: string(t)}}
 	m.Meter.Observe("graniteknot_store_call_seconds", time.Since(began), labels...)
-	m.Meter.Count("graniteknot_store_calls_total", append(labels, meter.Label{Name: "result", Value: resultOf(err)})...)
+	m.Meter.Count("graniteknot_store_calls_total", append(labels, meter.Label{Name: "result", Value: resultLabel(err)})...)
 }
 
-// resultOf is a call's result in a word.
-func resultOf(err error) string {
+// resultLabel returns the metric label of a call's result.
+func resultLabel(err error) string {
 	switch {
 	case err == nil:
 		return "ok"
--- a/internal/core/watch/overdue.go
+++ b/internal/core/watch/overdue.go
@@ -7,67 +7,66 @@
 )
 
 const (
-	// leastOverdue is how long after its time a call to the store counts as overdue at least,
-	// and overdueTimes the same in times of what the store's answers take of late.
-	leastOverdue = 300 * time.Millisecond
-	overdueTimes = 3
-	// tookWeight is the part of the last answer in what they take of late.
-	tookWeight = 0.25
+	// A call to the store is overdue once it exceeds its wait by the larger of minOverdueMargin
+	// and overdueFactor times the recent latency.
+	minOverdueMargin = 300 * time.Millisecond
+	overdueFactor    = 3
+	// latencyWeight is the weight of a call that is faster than the recent latency.
+	latencyWeight = 0.25
 )
 
-// reading is what is known of the calls on one topic.
-type reading struct {
-	// due is when the answer to the call under way is overdue; zero where none is.
-	due time.Time
-	// failed tells that the last call had no answer.
+// callState is the state of the calls on one topic.
+type callState struct {
+	// overdueAt is when the current call becomes overdue; zero if there is none.
+	overdueAt time.Time
+	// failed tells that the last call was not answered.
 	failed bool
 }
 
-// BeginCall notes that a call on a topic begins, which waits for a record for at most a time.
+// BeginCall records the start of a call on a topic that waits for a record for at most wait.
 func (h *Health) BeginCall(t graniteknot.Topic, now time.Time, wait time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.readings == nil {
-		h.readings = map[graniteknot.Topic]reading{}
+	if h.calls == nil {
+		h.calls = map[graniteknot.Topic]callState{}
 	}
-	x := h.readings[t]
-	x.due = now.Add(wait + h.margin())
-	h.readings[t] = x
+	call := h.calls[t]
+	call.overdueAt = now.Add(wait + h.overdueMargin())
+	h.calls[t] = call
 }
 
-// OverdueMargin returns how long after its time a call counts as overdue.
+// OverdueMargin returns by how much a call may exceed its wait before it is overdue.
 func (h *Health) OverdueMargin() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.margin()
+	return h.overdueMargin()
 }
 
-// margin is called with the lock held.
-func (h *Health) margin() time.Duration { return max(leastOverdue, overdueTimes*h.took) }
+// overdueMargin implements OverdueMargin. The caller holds h.mu.
+func (h *Health) overdueMargin() time.Duration { return max(minOverdueMargin, overdueFactor*h.latency) }
 
-// EndCall notes that the call on a topic has ended. Took is how long the store needed for its
-// answer; 0 where that can't be told.
-func (h *Health) EndCall(t graniteknot.Topic, answered bool, took time.Duration) {
+// EndCall records the end of the call on a topic. latency is that of the answer; 0 is unknown.
+func (h *Health) EndCall(t graniteknot.Topic, answered bool, latency time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.readings[t] = reading{failed: !answered}
+	h.calls[t] = callState{failed: !answered}
 	if !answered {
-		h.missed = true
-	} else if h.missed {
-		// Other calls of that time may wait for answers that do not come.
-		h.missed = false
+		h.unanswered = true
+	} else if h.unanswered {
+		// Other calls from before may wait for answers that were lost.
+		h.unanswered = false
 		if h.regained != nil {
 			close(h.regained)
 			h.regained = nil
 		}
 	}
-	if took > 0 {
-		h.took = max(took, time.Duration((1-tookWeight)*float64(h.took)+tookWeight*float64(took)))
+	if latency > 0 {
+		h.latency = max(latency, time.Duration((1-latencyWeight)*float64(h.latency)+latencyWeight*float64(latency)))
 	}
 }
 
-// Regained returns a channel that is closed when the store answers again after a call of a
-// vital topic had no answer.
+// Regained returns a channel that is closed when the store answers again after an unanswered call
+// of a follower with DetectLoss.
 func (h *Health) Regained() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -77,13 +76,13 @@
 	return h.regained
 }
 
-// Lost tells whether the store does not answer this process: the last call on a topic had no
-// answer, or one is overdue.
+// Lost tells whether the store does not answer this process: the last call on any topic was not
+// answered, or one is overdue.
 func (h *Health) Lost(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, x := range h.readings {
-		if x.failed || !x.due.IsZero() && now.After(x.due) {
+	for _, call := range h.calls {
+		if call.failed || !call.overdueAt.IsZero() && now.After(call.overdueAt) {
 			return true
 		}
 	}
--- a/internal/core/watch/overdue_test.go
+++ b/internal/core/watch/overdue_test.go
@@ -13,19 +13,19 @@
 	"graniteknot.org/go/internal/standin/keyed"
 )
 
-// TestLostByAnOverdueRead knows that the store does not answer from when a read is overdue,
-// well before it is given up, until one is answered.
-func TestLostByAnOverdueRead(t *testing.T) {
+// TestOverdueReadMeansLost checks that the store counts as lost from when a read is overdue, well
+// before it times out, until a read is answered.
+func TestOverdueReadMeansLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const wait = time.Second
 		store := &keyed.Store{}
 		var health watch.Health
-		x := watch.Follower{
+		follower := watch.Follower{
 			Store: store, Topic: "t", Health: &health, PollWait: wait, DetectLoss: true,
 			OnNewest: func([]graniteknot.KeyedRecord, time.Time) {}, OnNext: func([]graniteknot.KeyedRecord, time.Time) {},
 		}
 		var run group.Group
-		run.Go(func(ctx context.Context) { x.Run(ctx) })
+		run.Go(func(ctx context.Context) { follower.Run(ctx) })
 		defer run.Stop()
 		lost := func() bool { return health.Lost(time.Now()) }
 		for range 50 {
@@ -52,28 +52,28 @@
 	})
 }
 
-// TestSlowStoreIsNotLost waits longer for the answers of a store that has been slow.
+// TestSlowStoreIsNotLost checks that the overdue margin grows with the latency of the store.
 func TestSlowStoreIsNotLost(t *testing.T) {
-	const took = 250 * time.Millisecond
+	const latency = 250 * time.Millisecond
 	var h watch.Health
 	now := time.Now()
 	for range 3 {
 		h.BeginCall("t", now, 0)
-		if h.Lost(now.Add(took)) {
+		if h.Lost(now.Add(latency)) {
 			t.Error("lost before the answer is overdue")
 		}
-		h.EndCall("t", true, took)
+		h.EndCall("t", true, latency)
 	}
 	h.BeginCall("t", now, 0)
-	if h.Lost(now.Add(2 * took)) {
-		t.Error("lost after twice the usual time")
+	if h.Lost(now.Add(2 * latency)) {
+		t.Error("lost after twice the latency")
 	}
-	if !h.Lost(now.Add(4 * took)) {
-		t.Error("not lost after four times the usual time")
+	if !h.Lost(now.Add(4 * latency)) {
+		t.Error("not lost after four times the latency")
 	}
 }
 
-// hangingStore does not answer one of its calls.
+// hangingStore does not answer the next read when hang is set.
 type hangingStore struct {
 	*keyed.Store
 
@@ -89,18 +89,18 @@
 	return s.Store.Read(ctx, t, from, wait)
 }
 
-// TestReadThatHangsIsMadeAgain loses one answer, as where a connection falls silent: a change
-// is seen as soon as the read is overdue, and the store does not count as lost for it.
-func TestReadThatHangsIsMadeAgain(t *testing.T) {
+// TestHangingReadIsRetried loses one answer, as when a connection stalls: a change is seen as soon
+// as the read is overdue, and that is no outage of the store.
+func TestHangingReadIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const wait, bound = 1500 * time.Millisecond, 1900 * time.Millisecond
 		store := &hangingStore{Store: &keyed.Store{}}
 		var health watch.Health
 		var seen atomic.Int32
 		take := func(r []graniteknot.KeyedRecord, _ time.Time) { seen.Add(int32(len(r))) }
-		x := watch.Follower{Store: store, Topic: "t", Health: &health, PollWait: wait, DetectLoss: true, OnNewest: take, OnNext: take}
+		follower := watch.Follower{Store: store, Topic: "t", Health: &health, PollWait: wait, DetectLoss: true, OnNewest: take, OnNext: take}
 		var run group.Group
-		run.Go(func(ctx context.Context) { x.Run(ctx) })
+		run.Go(func(ctx context.Context) { follower.Run(ctx) })
 		defer run.Stop()
 		time.Sleep(wait / 2)
 		store.hang.Store(true)
@@ -111,14 +111,14 @@
 			t.Error("the change was not seen")
 		}
 		if _, up := health.UpSince(); !up || health.RecentOutage(time.Now(), time.Minute) {
-			t.Error("the store counts as lost")
+			t.Error("a hanging read counts as an outage")
 		}
 	})
 }
 
-// TestLongReadsBeginAnewAfterALoss loses the answers to all calls for a while: a change that a
-// long read was waiting for is seen soon after the store's return, not when that read's time is over.
-func TestLongReadsBeginAnewAfterALoss(t *testing.T) {
+// TestLongReadsRestartAfterOutage loses the answers to all calls for a while: a change that a long
+// read waited for is seen soon after the outage, not when that read times out.
+func TestLongReadsRestartAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &keyed.Store{}
 		var health watch.Health
@@ -126,11 +126,11 @@
 		nothing := func([]graniteknot.KeyedRecord, time.Time) {}
 		take := func(r []graniteknot.KeyedRecord, _ time.Time) { seen.Add(int32(len(r))) }
 		var run group.Group
-		for _, x := range []watch.Follower{
+		for _, follower := range []watch.Follower{
 			{Store: store, Topic: "often", Health: &health, PollWait: time.Second, DetectLoss: true, OnNewest: nothing, OnNext: nothing},
-			{Store: &mutedStore{Store: store}, Topic: "rarely", Health: &health, PollWait: 20 * time.Second, OnNewest: take, OnNext: take},
+			{Store: &silentFirstReadStore{Store: store}, Topic: "rarely", Health: &health, PollWait: 20 * time.Second, OnNewest: take, OnNext: take},
 		} {
-			run.Go(func(ctx context.Context) { x.Run(ctx) })
+			run.Go(func(ctx context.Context) { follower.Run(ctx) })
 		}
 		defer run.Stop()
 		time.Sleep(500 * time.Millisecond)
@@ -145,15 +145,15 @@
 	})
 }
 
-// mutedStore never answers its first read.
-type mutedStore struct {
+// silentFirstReadStore does not answer its first read.
+type silentFirstReadStore struct {
 	*keyed.Store
 
 	asked atomic.Bool
 }
 
 // Read implements graniteknot.KeyedStore.
-func (s *mutedStore) Read(ctx context.Context, t graniteknot.Topic, from graniteknot.Position, wait time.Duration) (graniteknot.KeyedPage, error) {
+func (s *silentFirstReadStore) Read(ctx context.Context, t graniteknot.Topic, from graniteknot.Position, wait time.Duration) (graniteknot.KeyedPage, error) {
 	if s.asked.CompareAndSwap(false, true) {
 		<-ctx.Done()
 		return graniteknot.KeyedPage{}, ctx.Err()
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -179,12 +179,12 @@
 		Package: "internal/core/fleet", Test: "TestRestOfOneGatewayIsItsOwn",
 	},
 	{
-		Name: "one's own trouble with the store is taken for all", File: "internal/core/watch/health.go", Old: "< within && !own", New: "< within || own && !own",
+		Name: "an outage of one process counts as an outage of the store", File: "internal/core/watch/health.go", Old: "< within && !localOutage", New: "< within || localOutage && !localOutage",
 		Package: "internal/core/gateway", Test: "TestTurnedAwayGatewayBelievesTheStoreAgain",
 	},
 	{
-		Name: "the store's return from an older copy is not doubted", File: "internal/core/watch/health.go", Old: "own := !h.renewed && ", New: "own := ",
-		Package: "internal/core/watch", Test: "TestOwnTroubleIsNotTheStores",
+		Name: "a restore from an older copy does not count as an outage", File: "internal/core/watch/health.go", Old: "localOutage := !h.restored && ", New: "localOutage := ",
+		Package: "internal/core/watch", Test: "TestLocalOutageIsNotAStoreOutage",
 	},
 	{
 		Name: "failures in a row end with the record", File: "internal/core/fleet/word.go", Old: "w.failures, w.until = x.failures, x.until", New: "w.failures = 0",
@@ -221,9 +221,9 @@
 		Package: "internal/core/gateway", Test: "TestNoRefusalWithoutProof", Says: "answered 401",
 	},
 	{
-		Name: "long reads wait on after a loss", File: "internal/core/watch/overdue.go",
+		Name: "long reads are not cancelled after an outage", File: "internal/core/watch/overdue.go",
 		Old: "\t\t\tclose(h.regained)\n", New: "",
-		Package: "internal/core/watch", Test: "TestLongReadsBeginAnewAfterALoss", Says: "not seen",
+		Package: "internal/core/watch", Test: "TestLongReadsRestartAfterOutage", Says: "not seen",
 	},
 	{
 		Name: "the age of a proof is not counted over a hop", File: "internal/core/gateway/revalidate.go",
@@ -235,8 +235,8 @@
 		Old: "t.Version < h.tree.Version", New: "false", Package: "catalog", Test: "TestHolder", Says: "an older version was taken",
 	},
 	{
-		Name: "a read that is overdue is no loss", File: "internal/core/watch/overdue.go",
-		Old: "x.failed || !x.due.IsZero() && now.After(x.due)", New: "x.failed",
+		Name: "an overdue read does not count as the loss of the store", File: "internal/core/watch/overdue.go",
+		Old: "call.failed || !call.overdueAt.IsZero() && now.After(call.overdueAt)", New: "call.failed",
 		Package: "internal/core/watch", Test: "TestSlowStoreIsNotLost", Says: "not lost",
 	},
 	{
