--- a/internal/core/presence/member_sync.go
+++ b/internal/core/presence/member_sync.go
@@ -107,7 +107,7 @@
 	return true
 }
 
-// digestChanged tells whether a digest differs from that of the last fetch, and remembers it.
+// digestChanged reports whether a digest differs from that of the last fetch, and remembers it.
 // A gateway that knows less than this process would otherwise be fetched from each time.
 func (s *MemberSync) digestChanged(digest uint64) bool {
 	s.mu.Lock()
--- a/internal/core/presence/relay.go
+++ b/internal/core/presence/relay.go
@@ -56,7 +56,7 @@
 	return n
 }
 
-// elected tells whether a gateway is among the first relaysPerZone of its zone. The caller
+// elected reports whether a gateway is among the first relaysPerZone of its zone. The caller
 // holds v.mu.
 func (v *View) elected(self Member, now time.Time) bool {
 	ahead := 0
@@ -162,7 +162,7 @@
 	}
 }
 
-// isAlive tells whether a member was heard within heartbeatTimeout. While no relay is heard at
+// isAlive reports whether a member was heard within heartbeatTimeout. While no relay is heard at
 // all, time stands still shortly after the last update, for up to maxFrozenView. The caller
 // holds v.mu.
 func (v *View) isAlive(p *peer, now time.Time) bool {
--- a/internal/core/presence/restore.go
+++ b/internal/core/presence/restore.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// ownRecordMissing tells whether the own record is not known to exist in an era.
+// ownRecordMissing reports whether the own record is not known to exist in an era.
 func (v *View) ownRecordMissing(era graniteknot.Era) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/core/presence/view.go
+++ b/internal/core/presence/view.go
@@ -221,7 +221,7 @@
 	return v.storeLostChanges
 }
 
-// StoreLost tells whether a member reported that it can't reach the store.
+// StoreLost reports whether a member reported that it can't reach the store.
 func (v *View) StoreLost(box graniteknot.BoxName) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/core/watch/follower.go
+++ b/internal/core/watch/follower.go
@@ -46,7 +46,7 @@
 	// there may be none, each with the start of the read that returned them.
 	OnNewest func(records []graniteknot.KeyedRecord, began time.Time)
 	OnNext   func(records []graniteknot.KeyedRecord, began time.Time)
-	// Revalidate tells whether another process confirmed that nothing has changed since the
+	// Revalidate reports whether another process confirmed that nothing has changed since the
 	// last read, or supplied the changes. The store is not read then, and the next check
 	// follows after RevalidateInterval.
 	Revalidate         func(ctx context.Context) bool
--- a/internal/core/watch/health.go
+++ b/internal/core/watch/health.go
@@ -94,7 +94,7 @@
 // only this process was affected: about the time between two reads.
 const peerReadWindow = 1500 * time.Millisecond
 
-// RecentOutage tells whether the store is unavailable or had an outage that ended within a
+// RecentOutage reports whether the store is unavailable or had an outage that ended within a
 // duration. Past outages that affected only this process don't count: a process that took them
 // for the store's would keep replicas that others know to be gone and, as a reader in a large
 // deployment, report them to others.
--- a/internal/core/watch/overdue.go
+++ b/internal/core/watch/overdue.go
@@ -76,7 +76,7 @@
 	return h.regained
 }
 
-// Lost tells whether the store does not answer this process: the last call on any topic was not
+// Lost reports whether the store does not answer this process: the last call on any topic was not
 // answered, or one is overdue.
 func (h *Health) Lost(now time.Time) bool {
 	h.mu.Lock()
