--- a/internal/core/gateway/hello.go
+++ b/internal/core/gateway/hello.go
@@ -26,7 +26,7 @@
 		to = g.everybody()
 	}
 	g.socket.Send(g.greeting(), to)
-	g.Fleet.Share(len(g.Members.ReadyMembers(presence.RoleGateway, g.Config.Box, now)) + 1)
+	g.Fleet.SetGateways(len(g.Members.ReadyMembers(presence.RoleGateway, g.Config.Box, now)) + 1)
 }
 
 // greet tells a new member that this gateway lives.
@@ -109,7 +109,7 @@
 
 // version is that of the configuration in force; 0 for none.
 func (g *Gateway) version() uint64 {
-	if tree, _ := g.Trees.Current(g.Clock.Now()); tree != nil {
+	if tree, _ := g.Catalog.Current(g.Clock.Now()); tree != nil {
 		return uint64(tree.Version)
 	}
 	return 0
@@ -198,7 +198,7 @@
 func loadOf(d *presence.LoadReport, taken time.Time) fleet.Load {
 	return fleet.Load{
 		Running: d.Running, Waiting: d.Waiting, Pace: float64(d.Pace),
-		Pass: time.Duration(d.PassMicros) * time.Microsecond, Closed: !d.GroupOpen, Taken: taken, Life: d.LifeMark,
+		Pass: time.Duration(d.PassMicros) * time.Microsecond, GroupDown: !d.GroupOpen, Taken: taken, Life: d.LifeMark,
 		Forecast: fleet.Forecast{Skew: float64(d.Skew), Loading: d.Loading, Number: d.ForecastSequence},
 	}
 }
--- a/internal/core/ranks/datagram.go
+++ b/internal/core/ranks/datagram.go
@@ -21,8 +21,8 @@
 	askGiveAll presence.QueryKind = 4
 )
 
-// Asker asks another process by a datagram; presence.Socket is one.
-type Asker interface {
+// DatagramClient asks another process by a datagram; presence.Socket is one.
+type DatagramClient interface {
 	Ask(ctx context.Context, to graniteknot.Address, kind presence.QueryKind, body []byte) ([]byte, error)
 }
 
@@ -32,12 +32,12 @@
 // looks like a sidecar that does not answer; the keeper asks again.
 type datagrams struct {
 	wire.Ranks
-	asker Asker
+	asker DatagramClient
 	to    graniteknot.Address
 }
 
 // byDatagrams returns the calls of the sidecar at an address.
-func byDatagrams(asker Asker, to graniteknot.Address, http wire.Ranks) wire.Ranks {
+func byDatagrams(asker DatagramClient, to graniteknot.Address, http wire.Ranks) wire.Ranks {
 	if asker == nil {
 		return http
 	}
@@ -102,9 +102,9 @@
 	return proto.Unmarshal(answer, reply)
 }
 
-// Answer answers the questions of other sidecars; it is for presence.Socket's
+// ServeDatagram answers the questions of other sidecars; it is for presence.Socket's
 // Respond.
-func (d *Doer) Answer(ctx context.Context, kind presence.QueryKind, body []byte) ([]byte, error) {
+func (d *Executor) ServeDatagram(ctx context.Context, kind presence.QueryKind, body []byte) ([]byte, error) {
 	switch kind {
 	case askLook:
 		return respond(ctx, body, &wire.LookRequest{}, d.Look)
--- a/internal/core/sidecar/sidecar.go
+++ b/internal/core/sidecar/sidecar.go
@@ -59,7 +59,7 @@
 	Health  watch.Health
 
 	own    held.Rank
-	doer   *ranks.Doer
+	doer   *ranks.Executor
 	socket *presence.Socket
 	census presence.MemberSync
 	server *http.Server
@@ -86,7 +86,7 @@
 	p.Store = &watch.MeteredStore{Store: p.Store, Meter: p.Meter}
 	s := &Sidecar{Parts: p, own: p.Rank(p.Config.Target), news: make(chan struct{}, 1)}
 	s.Health.Log = p.Log
-	s.doer = &ranks.Doer{Rank: s.own, Target: p.Config.Target, Log: p.Log, Meter: p.Meter, Clock: p.Clock}
+	s.doer = &ranks.Executor{Rank: s.own, Target: p.Config.Target, Log: p.Log, Meter: p.Meter, Clock: p.Clock}
 	return s
 }
 
@@ -98,8 +98,8 @@
 		return err
 	}
 	s.socket = socket
-	s.doer.Asker = socket
-	socket.HandleQueries(s.doer.Answer)
+	s.doer.Datagrams = socket
+	socket.HandleQueries(s.doer.ServeDatagram)
 	if err := s.listen(ctx); err != nil {
 		return err
 	}
@@ -229,7 +229,7 @@
 	s.mu.Unlock()
 	s.socket.Send(presence.Message{Load: &presence.LoadReport{
 		Target: s.Config.Target, Running: r.Running, Waiting: r.Waiting, Pace: float32(r.Pace), GroupOpen: r.Group == "" || r.State.Open, PassMicros: pass.Microseconds(),
-		Skew: float32(f.Skew), Loading: f.Loading, ForecastSequence: f.Number, LifeMark: life,
+		Skew: float32(f.Skew), Loading: f.Loading, ForecastSequence: f.Sequence, LifeMark: life,
 	}}, to)
 }
 
