--- a/internal/core/presence/bundle.go
+++ b/internal/core/presence/bundle.go
@@ -10,42 +10,44 @@
 	"graniteknot.org/go/catalog"
 )
 
-// Bundle is what a relay heard since its last one, for the gateways of its zone.
+// Bundle is what a relay received since its last bundle, forwarded to the gateways of its
+// zone.
 type Bundle struct {
-	// Reports are of replicas, Forecasts what their groups' keepers foretold.
+	// Reports are the replicas' load reports, Forecasts the forecasts of the keepers of their
+	// groups.
 	Reports   []RelayedReport `cbor:"1,keyasint,omitempty"`
 	Forecasts []Forecast      `cbor:"2,keyasint,omitempty"`
-	// Ready and Unready name gateways that were heard.
+	// Ready and Unready are the hashes of the gateways that sent a datagram.
 	Ready   []uint32 `cbor:"3,keyasint,omitempty"`
 	Unready []uint32 `cbor:"4,keyasint,omitempty"`
-	// Joined describes gateways that are new.
+	// Joined describes new gateways.
 	Joined []Member `cbor:"5,keyasint,omitempty"`
-	// ConfigVersion is the newest version of the configuration that any of them has.
+	// ConfigVersion is the newest configuration version that any of them has.
 	ConfigVersion uint64 `cbor:"6,keyasint,omitempty"`
-	// StoreLost names those of the gateways heard that the store does not answer.
+	// StoreLost are the hashes of those of these gateways that can't reach the store.
 	StoreLost []uint32 `cbor:"7,keyasint,omitempty"`
 }
 
-// RelayedReport is a digest as a relay passes it on.
+// RelayedReport is a LoadReport as a relay forwards it.
 type RelayedReport struct {
 	_       struct{} `cbor:",toarray"`
 	Target  netip.AddrPort
 	Running int
 	Waiting int
-	// PassMicros is in microseconds, as Digest's.
+	// PassMicros is LoadReport's.
 	PassMicros int64
-	// AgeMillis is how long before the bundle the digest came, in milliseconds.
+	// AgeMillis is how long before the bundle the report arrived.
 	AgeMillis int64
-	// Pace is in hundredths; 0 is unknown.
+	// Pace is LoadReport's in hundredths; 0 is unknown.
 	Pace      int
 	GroupOpen bool
-	// ForecastIndex is the place of the replica's forecast in the bundle, and 1; 0 is none.
+	// ForecastIndex is the index of the replica's forecast in the bundle, plus 1; 0 is none.
 	ForecastIndex int
-	// LifeMark is Digest's.
+	// LifeMark is LoadReport's.
 	LifeMark catalog.Mark
 }
 
-// Forecast is a keeper's forecast as a relay passes it on.
+// Forecast is a keeper's forecast as a relay forwards it; see LoadReport.
 type Forecast struct {
 	_        struct{} `cbor:",toarray"`
 	Skew     float32
@@ -54,112 +56,112 @@
 }
 
 const (
-	// mostReports is how many reports a bundle holds, of at most 30 bytes each, so that
-	// it fits into a packet.
-	mostReports = 40
-	// mostNames and mostJoined bound the rest of a bundle in the same way.
-	mostNames  = 150
-	mostJoined = 5
-	// joinedFor is how long a gateway is new.
-	joinedFor = 2 * time.Second
-	paceUnit  = 100
+	// maxReportsPerBundle keeps a bundle within a packet: a report takes at most 30 bytes.
+	maxReportsPerBundle = 40
+	// maxGatewaysPerBundle and maxJoinedPerBundle bound the other entries of a bundle likewise.
+	maxGatewaysPerBundle = 150
+	maxJoinedPerBundle   = 5
+	// newMemberPeriod is for how long bundles repeat the description of a new gateway.
+	newMemberPeriod = 2 * time.Second
+	// paceScale is the number of units of a RelayedReport's pace in 1.
+	paceScale = 100
 )
 
-// Bundler collects what a relay hears. The zero value is empty.
+// Bundler collects what a relay forwards. The zero value is empty.
 type Bundler struct {
-	mu      sync.Mutex
-	reports map[graniteknot.Address]heardDigest
-	ready   map[graniteknot.BoxName]bool
-	lost    map[graniteknot.BoxName]bool
-	// joined are gateways that are new, since when.
-	joined   map[graniteknot.BoxName]joinedMember
-	settings uint64
+	mu        sync.Mutex
+	reports   map[graniteknot.Address]receivedReport
+	ready     map[graniteknot.BoxName]bool
+	storeLost map[graniteknot.BoxName]bool
+	// joined are the described gateways, with the time at which each became known.
+	joined        map[graniteknot.BoxName]newMember
+	configVersion uint64
 }
 
-type heardDigest struct {
-	digest LoadReport
-	at     time.Time
+type receivedReport struct {
+	report     LoadReport
+	receivedAt time.Time
 }
 
-type joinedMember struct {
+type newMember struct {
 	member Member
 	since  time.Time
 }
 
-// Add takes in a message from another process.
+// Add records a message from another process.
 func (b *Bundler) Add(m *Message, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if m.Load != nil {
 		if b.reports == nil {
-			b.reports = map[graniteknot.Address]heardDigest{}
+			b.reports = map[graniteknot.Address]receivedReport{}
 		}
-		b.reports[m.Load.Target] = heardDigest{*m.Load, now}
+		b.reports[m.Load.Target] = receivedReport{*m.Load, now}
 	}
 	if m.Self == nil || m.Self.Role != RoleGateway {
 		return
 	}
 	if b.ready == nil {
-		b.ready, b.joined = map[graniteknot.BoxName]bool{}, map[graniteknot.BoxName]joinedMember{}
-		b.lost = map[graniteknot.BoxName]bool{}
+		b.ready, b.joined = map[graniteknot.BoxName]bool{}, map[graniteknot.BoxName]newMember{}
+		b.storeLost = map[graniteknot.BoxName]bool{}
 	}
 	b.ready[m.Box] = m.Ready
 	if m.StoreLost {
-		b.lost[m.Box] = true
+		b.storeLost[m.Box] = true
 	} else {
-		delete(b.lost, m.Box)
+		delete(b.storeLost, m.Box)
 	}
-	b.settings = max(b.settings, m.ConfigVersion)
+	b.configVersion = max(b.configVersion, m.ConfigVersion)
 	if known := b.joined[m.Box]; known.member.Incarnation != m.Self.Incarnation {
-		b.joined[m.Box] = joinedMember{*m.Self, now}
+		b.joined[m.Box] = newMember{*m.Self, now}
 	}
 }
 
-// Flush returns what was heard since the last call.
+// Flush returns bundles of what was recorded since the last call.
 func (b *Bundler) Flush(now time.Time) []Bundle {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := b.reported(now)
+	out := b.reportBundles(now)
 	var rest Bundle
-	rest.ConfigVersion = b.settings
+	rest.ConfigVersion = b.configVersion
 	for box, ready := range b.ready {
 		if ready {
-			rest.Ready = append(rest.Ready, nameOf(box))
+			rest.Ready = append(rest.Ready, boxHash(box))
 		} else {
-			rest.Unready = append(rest.Unready, nameOf(box))
+			rest.Unready = append(rest.Unready, boxHash(box))
 		}
-		if b.lost[box] {
-			rest.StoreLost = append(rest.StoreLost, nameOf(box))
+		if b.storeLost[box] {
+			rest.StoreLost = append(rest.StoreLost, boxHash(box))
 		}
-		if len(rest.Ready)+len(rest.Unready)+len(rest.StoreLost) >= mostNames {
-			out, rest = append(out, rest), Bundle{ConfigVersion: b.settings}
+		if len(rest.Ready)+len(rest.Unready)+len(rest.StoreLost) >= maxGatewaysPerBundle {
+			out, rest = append(out, rest), Bundle{ConfigVersion: b.configVersion}
 		}
 	}
 	out = append(out, rest)
-	for some := range slices.Chunk(b.new(now), mostJoined) {
-		out = append(out, Bundle{Joined: some})
+	for members := range slices.Chunk(b.recentlyJoined(now), maxJoinedPerBundle) {
+		out = append(out, Bundle{Joined: members})
 	}
 	clear(b.reports)
 	clear(b.ready)
 	return out
 }
 
-// reported returns bundles of the replicas' reports; called with the lock held.
-func (b *Bundler) reported(now time.Time) []Bundle {
+// reportBundles returns bundles of load reports. The caller holds b.mu.
+func (b *Bundler) reportBundles(now time.Time) []Bundle {
 	var out []Bundle
 	var one Bundle
 	for _, h := range b.reports {
-		target, err := netip.ParseAddrPort(string(h.digest.Target))
+		target, err := netip.ParseAddrPort(string(h.report.Target))
 		if err != nil {
-			// Nobody can be sent requests there.
+			// No request can be sent to an address that does not parse.
 			continue
 		}
 		one.Reports = append(one.Reports, RelayedReport{
-			Target: target, Running: h.digest.Running, Waiting: h.digest.Waiting, PassMicros: h.digest.PassMicros,
-			AgeMillis: now.Sub(h.at).Milliseconds(), Pace: int(paceUnit*h.digest.Pace + 0.5), GroupOpen: h.digest.GroupOpen, ForecastIndex: one.forecast(&h.digest),
-			LifeMark: h.digest.LifeMark,
+			Target: target, Running: h.report.Running, Waiting: h.report.Waiting, PassMicros: h.report.PassMicros,
+			AgeMillis: now.Sub(h.receivedAt).Milliseconds(), Pace: int(paceScale*h.report.Pace + 0.5), GroupOpen: h.report.GroupOpen, ForecastIndex: one.forecastIndex(&h.report),
+			LifeMark: h.report.LifeMark,
 		})
-		if len(one.Reports) == mostReports {
+		if len(one.Reports) == maxReportsPerBundle {
 			out, one = append(out, one), Bundle{}
 		}
 	}
@@ -169,12 +171,13 @@
 	return out
 }
 
-// forecast returns the place of a digest's forecast, and 1.
-func (b *Bundle) forecast(d *LoadReport) int {
-	if d.ForecastSequence == 0 {
+// forecastIndex returns the index of a report's forecast in the bundle plus 1, and adds the
+// forecast if needed; 0 if the report has none.
+func (b *Bundle) forecastIndex(r *LoadReport) int {
+	if r.ForecastSequence == 0 {
 		return 0
 	}
-	f := Forecast{Skew: d.Skew, Loading: d.Loading, Sequence: d.ForecastSequence}
+	f := Forecast{Skew: r.Skew, Loading: r.Loading, Sequence: r.ForecastSequence}
 	at := slices.Index(b.Forecasts, f)
 	if at < 0 {
 		at = len(b.Forecasts)
@@ -183,28 +186,27 @@
 	return at + 1
 }
 
-// LoadReport returns a report as its sidecar told it.
+// LoadReport returns a relayed report as its sidecar sent it.
 func (b *Bundle) LoadReport(r *RelayedReport) LoadReport {
-	d := LoadReport{
+	out := LoadReport{
 		Target: graniteknot.Address(r.Target.String()), Running: r.Running, Waiting: r.Waiting, PassMicros: r.PassMicros,
-		Pace: float32(r.Pace) / paceUnit, GroupOpen: r.GroupOpen, LifeMark: r.LifeMark,
+		Pace: float32(r.Pace) / paceScale, GroupOpen: r.GroupOpen, LifeMark: r.LifeMark,
 	}
 	if at := r.ForecastIndex - 1; at >= 0 && at < len(b.Forecasts) {
 		f := b.Forecasts[at]
-		d.Skew, d.Loading, d.ForecastSequence = f.Skew, f.Loading, f.Sequence
+		out.Skew, out.Loading, out.ForecastSequence = f.Skew, f.Loading, f.Sequence
 	}
-	return d
+	return out
 }
 
-// new returns the gateways that are new, in order of their names; called with the lock
-// held.
-func (b *Bundler) new(now time.Time) []Member {
+// recentlyJoined returns the new gateways in relay priority order. The caller holds b.mu.
+func (b *Bundler) recentlyJoined(now time.Time) []Member {
 	var out []Member
 	for _, j := range b.joined {
-		if now.Sub(j.since) < joinedFor {
+		if now.Sub(j.since) < newMemberPeriod {
 			out = append(out, j.member)
 		}
 	}
-	slices.SortFunc(out, func(a, b Member) int { return order(a, b) })
+	slices.SortFunc(out, func(a, b Member) int { return compareRelayPriority(a, b) })
 	return out
 }
