--- a/internal/core/forward/forward_test.go
+++ b/internal/core/forward/forward_test.go
@@ -98,7 +98,7 @@
 
 func TestBudgetBoundsRetries(t *testing.T) {
 	r := newRig(t, catalog.KindRepeatable, platformtest.Lose, platformtest.Answer("second"))
-	r.forward.Budgets = &forward.Budgets{}
+	r.forward.RetryBudgets = &forward.RetryBudgets{}
 	if result := r.do(context.Background()); result.Reason != forward.ReasonBudget || r.ran() != 1 {
 		t.Errorf("%+v, ran %d times", result, r.ran())
 	}
--- a/internal/core/forward/forwarder.go
+++ b/internal/core/forward/forwarder.go
@@ -17,13 +17,13 @@
 
 // Forwarder takes requests to replicas. Set the exported fields.
 type Forwarder struct {
-	Dialect Dialect
-	Pool    *conns.Pool
-	Fleet   *fleet.Table
-	Budgets *Budgets
-	Log     *eventlog.Log
-	Meter   *meter.Meter
-	Zone    graniteknot.AvailabilityZone
+	Dialect      Dialect
+	Pool         *conns.Pool
+	Fleet        *fleet.Table
+	RetryBudgets *RetryBudgets
+	Log          *eventlog.Log
+	Meter        *meter.Meter
+	Zone         graniteknot.AvailabilityZone
 	// Clock is what ages and deadlines are decided by.
 	Clock graniteknot.AgeClock
 	// Fresh tells whether the configuration is new enough to trust a key.
@@ -116,7 +116,7 @@
 // take makes attempts until one settles the request.
 func (r *run) take() {
 	f := r.f
-	f.Budgets.First(r.job.Service.Name)
+	f.RetryBudgets.RecordFirstAttempt(r.job.Service.Name)
 	for {
 		if why, ok := r.mayTry(); !ok {
 			r.giveUp(why)
@@ -225,7 +225,7 @@
 	if r.mayHaveRun && !r.job.Route.Repeats() {
 		return r.result.Reason, false
 	}
-	if !r.f.Budgets.Spend(r.job.Service.Name) {
+	if !r.f.RetryBudgets.Withdraw(r.job.Service.Name) {
 		return ReasonBudget, false
 	}
 	return ReasonNone, true
--- a/internal/core/forward/rig_test.go
+++ b/internal/core/forward/rig_test.go
@@ -89,8 +89,8 @@
 	t.Cleanup(pool.Close)
 	r.forward = &forward.Forwarder{
 		Dialect: platform.Dialect{}, Pool: pool, Fleet: table, Zone: "z0", Fresh: func() bool { return true },
-		ConnLimit: func(*catalog.Service) int { return 0 },
-		Budgets:   &forward.Budgets{Percent: func() int64 { return 100 }, Burst: func() float64 { return 20 }},
+		ConnLimit:    func(*catalog.Service) int { return 0 },
+		RetryBudgets: &forward.RetryBudgets{Percent: func() int64 { return 100 }, Burst: func() float64 { return 20 }},
 	}
 	r.request = &forward.Request{
 		ID: "a1", Method: http.MethodPost, Target: "/p/x?q=1", Host: "h", Path: "/p/x", Header: http.Header{"X-Own": {"v"}},
--- a/internal/core/forward/word_test.go
+++ b/internal/core/forward/word_test.go
@@ -24,7 +24,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, catalog.KindOnce, platformtest.Answer("first"), platformtest.Answer("second"))
 			r.route.Attempts = 1
-			r.forward.Budgets = &forward.Budgets{Percent: func() int64 { return 0 }}
+			r.forward.RetryBudgets = &forward.RetryBudgets{Percent: func() int64 { return 0 }}
 			other := r.forward.Fleet.Pick(&fleet.Query{Service: &catalog.Service{Name: "s"}, Zone: "z0", Now: time.Now()})
 			var once sync.Once
 			r.forward.ConnLimit = func(*catalog.Service) int {
--- a/internal/core/gateway/gateway.go
+++ b/internal/core/gateway/gateway.go
@@ -141,7 +141,7 @@
 	g.Forward = forward.Forwarder{
 		Dialect: p.Translator, Pool: &g.Pool, Fleet: &g.Fleet, Log: p.Log, Meter: p.Meter, Zone: p.Config.Zone,
 		Clock: p.Clock, Fresh: g.fresh, ConnLimit: g.connLimit, Quarantine: &g.Quarantine,
-		Budgets: &forward.Budgets{Percent: g.retryPercent, Burst: g.retryBurst},
+		RetryBudgets: &forward.RetryBudgets{Percent: g.retryPercent, Burst: g.retryBurst},
 	}
 	g.Quarantine.Changed = g.quarantineChanged
 	g.Fleet.OnOutbox(quota.BoxOf(p.Config.Box), g.limitsDue)
