--- a/internal/core/forward/attempt.go
+++ b/internal/core/forward/attempt.go
@@ -71,10 +71,10 @@
 
 func (r *run) outgoing(l *fleet.Lease) *Attempt {
 	left := endless
-	if !r.job.End.IsZero() {
-		left = max(r.f.Clock.Until(r.job.End), time.Millisecond)
+	if !r.job.RespondBy.IsZero() {
+		left = max(r.f.Clock.Until(r.job.RespondBy), time.Millisecond)
 	}
-	return &Attempt{Job: r.job, Replica: &l.Replica, Left: left, After: r.after}
+	return &Attempt{RoutedRequest: r.job, Replica: &l.Replica, Timeout: left, LastEventID: r.after}
 }
 
 func (r *run) mine(h http.Header) bool { return r.f.Dialect.Marks(0, h).ID == r.job.ID }
--- a/internal/core/forward/dialect.go
+++ b/internal/core/forward/dialect.go
@@ -11,12 +11,12 @@
 
 // Attempt is a request as it goes to one replica.
 type Attempt struct {
-	*Job
+	*RoutedRequest
 	Replica *catalog.Replica
-	// Left is the time that the replica has.
-	Left time.Duration
-	// After is the last event that the caller has; empty for none.
-	After EventID
+	// Timeout is the time that the replica has.
+	Timeout time.Duration
+	// LastEventID is the last event that the caller has; empty for none.
+	LastEventID EventID
 }
 
 // Marks are what an answer says beside its status and body.
--- a/internal/core/forward/endings.go
+++ b/internal/core/forward/endings.go
@@ -104,7 +104,7 @@
 }
 
 // ended notes that a replica ended while it had a request.
-func (f *Forwarder) ended(j *Job, key quarantine.Key, replica *catalog.Replica, suspect bool) {
+func (f *Forwarder) ended(j *RoutedRequest, key quarantine.Key, replica *catalog.Replica, suspect bool) {
 	f.Meter.Count("graniteknot_answers_lost_with_replica_total", meter.Label{Name: "service", Value: string(replica.Service)})
 	fields := []slog.Attr{
 		slog.String("request", string(j.ID)), slog.String("identity", key.String()), slog.String("replica", replica.Life().String()),
--- a/internal/core/forward/forward_test.go
+++ b/internal/core/forward/forward_test.go
@@ -172,7 +172,7 @@
 		x.Run()
 		x.WaitClosed()
 	})
-	job := &forward.Job{Request: r.request, Route: r.route, Service: &catalog.Service{Name: "s"}, End: time.Now().Add(50 * time.Millisecond)}
+	job := &forward.RoutedRequest{Request: r.request, Route: r.route, Service: &catalog.Service{Name: "s"}, RespondBy: time.Now().Add(50 * time.Millisecond)}
 	result := r.forward.Do(context.Background(), job, r.sink)
 	if result.Reason != forward.ReasonTimeout || result.Outcome != graniteknot.OutcomeUnknown {
 		t.Errorf("%+v", result)
@@ -217,7 +217,7 @@
 	callers.Go(func() { first <- r.do(ctx) })
 	<-arrived
 	other := &sink{}
-	job := &forward.Job{Request: r.request, Route: r.route, Service: &catalog.Service{Name: "s"}, End: time.Now().Add(long)}
+	job := &forward.RoutedRequest{Request: r.request, Route: r.route, Service: &catalog.Service{Name: "s"}, RespondBy: time.Now().Add(long)}
 	if result := r.forward.Do(context.Background(), job, other); result.Outcome != graniteknot.OutcomeNotRun || result.Reason != forward.ReasonBusy {
 		t.Errorf("%+v", result)
 	}
--- a/internal/core/forward/forwarder.go
+++ b/internal/core/forward/forwarder.go
@@ -53,13 +53,13 @@
 var errTimeout = errors.New("the request's time is over")
 
 // Do takes a job to its one result.
-func (f *Forwarder) Do(caller context.Context, j *Job, sink Sink) Result {
+func (f *Forwarder) Do(caller context.Context, j *RoutedRequest, sink Sink) Result {
 	ctx, cancel := context.WithCancelCause(caller)
 	defer cancel(nil)
-	if !j.End.IsZero() {
-		defer f.ends.begin(j.End, f.Clock.Until(j.End), func() { cancel(errTimeout) })()
+	if !j.RespondBy.IsZero() {
+		defer f.ends.begin(j.RespondBy, f.Clock.Until(j.RespondBy), func() { cancel(errTimeout) })()
 	}
-	r := &run{f: f, job: j, sink: sink, ctx: ctx, after: j.After}
+	r := &run{f: f, job: j, sink: sink, ctx: ctx, after: j.LastEventID}
 	r.result.Since = f.Returns.Since(j.Route, j.Request)
 	r.take()
 	r.answered()
@@ -69,7 +69,7 @@
 // run is one request on its way.
 type run struct {
 	f    *Forwarder
-	job  *Job
+	job  *RoutedRequest
 	sink Sink
 	ctx  context.Context //nolint:containedctx // It is the request's own life.
 
@@ -165,7 +165,7 @@
 // first try. A stream that is broken in the middle waits as one that has just come: its
 // caller counts the pause.
 func (r *run) waiting() fleet.Waiting {
-	from, first := r.job.Arrived, r.job.Arrived.Add(-r.result.Since)
+	from, first := r.job.ReceivedAt, r.job.ReceivedAt.Add(-r.result.Since)
 	if r.result.Begun {
 		from, first = r.lastPart, r.lastPart
 	}
@@ -232,7 +232,9 @@
 }
 
 // over tells whether the request's time is over, also where the timer for that stood still.
-func (r *run) over() bool { return !r.job.End.IsZero() && !r.f.Clock.Exact().Before(r.job.End) }
+func (r *run) over() bool {
+	return !r.job.RespondBy.IsZero() && !r.f.Clock.Exact().Before(r.job.RespondBy)
+}
 
 // stopReason says why the request's context ended.
 func (r *run) stopReason() Reason {
@@ -245,7 +247,7 @@
 // first notes the first byte of the answer.
 func (r *run) first() {
 	if r.result.First == 0 {
-		r.result.First = r.f.Clock.Since(r.job.Arrived)
+		r.result.First = r.f.Clock.Since(r.job.ReceivedAt)
 	}
 }
 
@@ -259,7 +261,7 @@
 	fields := []slog.Attr{
 		slog.String("request", string(r.job.ID)), slog.Int("attempt", r.result.Attempts),
 		slog.String("replica", l.Replica.Life().String()), slog.String("address", string(l.Replica.Address)),
-		slog.String("verdict", v.String()), eventlog.Milliseconds("since_arrival", r.f.Clock.Since(r.job.Arrived)),
+		slog.String("verdict", v.String()), eventlog.Milliseconds("since_arrival", r.f.Clock.Since(r.job.ReceivedAt)),
 		slog.Int("own", in.Own), slog.Int("others", in.Others), slog.Int("room", in.Room), slog.Float64("skew", in.Skew), slog.Bool("trial", in.Trial),
 		eventlog.Milliseconds("pass", in.Pass), eventlog.Milliseconds("report_age", in.ReportAge), eventlog.Milliseconds("waited", in.Waited),
 	}
--- a/internal/core/forward/quarantined_test.go
+++ b/internal/core/forward/quarantined_test.go
@@ -76,8 +76,8 @@
 	// A report of a group that does not run stands for as long as the test does.
 	r.forward.Fleet.Report(r.replicas[0].Address(), fleet.Load{Closed: true, Taken: time.Now().Add(time.Hour)})
 	r.route.Aim = long
-	job := &forward.Job{
-		Request: r.request, Route: r.route, Service: service, Account: &catalog.Account{Name: "desk"}, End: time.Now().Add(long),
+	job := &forward.RoutedRequest{
+		Request: r.request, Route: r.route, Service: service, Account: &catalog.Account{Name: "desk"}, RespondBy: time.Now().Add(long),
 	}
 	var told group.Group
 	told.Go(func(ctx context.Context) {
--- a/internal/core/forward/returns.go
+++ b/internal/core/forward/returns.go
@@ -34,7 +34,7 @@
 	if request.Deadline.IsZero() {
 		return 0
 	}
-	left := request.Deadline.Sub(request.Arrived)
+	left := request.Deadline.Sub(request.ReceivedAt)
 	longest := float64(r.learn(route.Name, left))
 	if float64(left) >= returnedBelow*longest {
 		return 0
--- a/internal/core/forward/returns_test.go
+++ b/internal/core/forward/returns_test.go
@@ -14,7 +14,7 @@
 	var r forward.Returns
 	now := time.Now()
 	since := func(route string, left time.Duration) time.Duration {
-		request := &forward.Request{Arrived: now}
+		request := &forward.Request{ReceivedAt: now}
 		if left > 0 {
 			request.Deadline = now.Add(left)
 		}
--- a/internal/core/forward/rig_test.go
+++ b/internal/core/forward/rig_test.go
@@ -93,16 +93,16 @@
 		RetryBudgets: &forward.RetryBudgets{Percent: func() int64 { return 100 }, Burst: func() float64 { return 20 }},
 	}
 	r.request = &forward.Request{
-		ID: "a1", Method: http.MethodPost, Target: "/p/x?q=1", Host: "h", Path: "/p/x", Header: http.Header{"X-Own": {"v"}},
-		Body: []byte("question"), Arrived: time.Now(),
+		ID: "a1", Method: http.MethodPost, RequestURI: "/p/x?q=1", Host: "h", Path: "/p/x", Header: http.Header{"X-Own": {"v"}},
+		Body: []byte("question"), ReceivedAt: time.Now(),
 	}
 	return r
 }
 
 func (r *rig) do(ctx context.Context) forward.Result {
-	job := &forward.Job{
+	job := &forward.RoutedRequest{
 		Request: r.request, Route: r.route, Service: &catalog.Service{Name: "s"},
-		Account: &catalog.Account{Name: "desk"}, End: time.Now().Add(long),
+		Account: &catalog.Account{Name: "desk"}, RespondBy: time.Now().Add(long),
 	}
 	return r.forward.Do(ctx, job, r.sink)
 }
--- a/internal/core/forward/stream.go
+++ b/internal/core/forward/stream.go
@@ -73,7 +73,7 @@
 // paused takes in the time since the last part.
 func (r *run) paused(now time.Time) {
 	if pause := now.Sub(r.lastPart); pause > r.result.Pause {
-		r.result.Pause, r.result.PauseAt = pause, now.Sub(r.job.Arrived)
+		r.result.Pause, r.result.PauseAt = pause, now.Sub(r.job.ReceivedAt)
 	}
 }
 
--- a/internal/core/forward/suspension_test.go
+++ b/internal/core/forward/suspension_test.go
@@ -38,11 +38,11 @@
 }
 
 // waitsForPlace is a job for an engine.
-func (r *rig) waitsForPlace() *forward.Job {
+func (r *rig) waitsForPlace() *forward.RoutedRequest {
 	r.route.Aim = long
-	return &forward.Job{
+	return &forward.RoutedRequest{
 		Request: r.request, Route: r.route, Service: &catalog.Service{Name: "s", Engine: &catalog.Engine{Slots: 1, Stride: 1}},
-		Account: &catalog.Account{Name: "desk"}, End: time.Now().Add(long),
+		Account: &catalog.Account{Name: "desk"}, RespondBy: time.Now().Add(long),
 	}
 }
 
--- a/internal/core/forward/word_test.go
+++ b/internal/core/forward/word_test.go
@@ -68,7 +68,7 @@
 			t.Errorf("%v: held for %v", kind, took)
 		}
 		away.Store(int64(2 * time.Second))
-		r.request.Arrived = clock.Now()
+		r.request.ReceivedAt = clock.Now()
 		if kind == catalog.KindStream {
 			r.replicas[1].Always(platformtest.Stream(1, true))
 		}
--- a/internal/core/gateway/metrics.go
+++ b/internal/core/gateway/metrics.go
@@ -71,7 +71,7 @@
 	service := meter.Label{Name: "service", Value: string(x.job.Service.Name)}
 	m.Count("graniteknot_requests_total", service, kind,
 		meter.Label{Name: "outcome", Value: r.Outcome.String()}, meter.Label{Name: "reason", Value: string(r.Reason)})
-	m.Observe("graniteknot_request_seconds", x.gateway.Clock.Since(x.request.Arrived), service, kind)
+	m.Observe("graniteknot_request_seconds", x.gateway.Clock.Since(x.request.ReceivedAt), service, kind)
 	if r.Outcome == graniteknot.OutcomeAnswered {
 		m.Observe("graniteknot_first_byte_seconds", r.First, service, kind)
 	}
--- a/internal/core/gateway/refusal.go
+++ b/internal/core/gateway/refusal.go
@@ -41,7 +41,7 @@
 	if route == nil {
 		return grant{}, denial{http.StatusNotFound, "no-route"}
 	}
-	account := tree.Account(r.Key)
+	account := tree.Account(r.APIKey)
 	if account == nil && tree.Tenanted && !route.Public {
 		return grant{}, denial{http.StatusUnauthorized, "unknown-key"}
 	}
--- a/internal/core/gateway/serve.go
+++ b/internal/core/gateway/serve.go
@@ -71,22 +71,22 @@
 	w       http.ResponseWriter
 	r       *http.Request
 	request *forward.Request
-	job     *forward.Job
+	job     *forward.RoutedRequest
 	// version and age are of the configuration that the request was read under.
 	version catalog.Version
 	age     time.Duration
 }
 
 // admit makes the job of a request that the configuration allows; nil after a refusal.
-func (x *exchange) admit(found grant) *forward.Job {
+func (x *exchange) admit(found grant) *forward.RoutedRequest {
 	if found.account != nil && !x.gateway.fresh() {
 		x.refuse(http.StatusServiceUnavailable, string(forward.ReasonStale), refusedAgain)
 		return nil
 	}
 	route := found.route
-	x.job = &forward.Job{
+	x.job = &forward.RoutedRequest{
 		Request: x.request, Route: route, Account: found.account, Service: found.tree.Service(route.Pick(rand.Uint64())),
-		End: endOf(x.request, route),
+		RespondBy: endOf(x.request, route),
 	}
 	return x.job
 }
@@ -95,7 +95,7 @@
 func endOf(r *forward.Request, route *catalog.Route) time.Time {
 	end := r.Deadline
 	if route.Timeout > 0 {
-		if t := r.Arrived.Add(route.Timeout); end.IsZero() || t.Before(end) {
+		if t := r.ReceivedAt.Add(route.Timeout); end.IsZero() || t.Before(end) {
 			end = t
 		}
 	}
@@ -195,7 +195,7 @@
 		slog.String("route", x.job.Route.Name), slog.String("kind", x.job.Route.Kind.String()),
 		slog.Int("attempts", result.Attempts), slog.String("replica", result.Replica),
 		eventlog.Milliseconds("first", result.First), eventlog.Milliseconds("pause", result.Pause),
-		eventlog.Milliseconds("took", x.gateway.Clock.Since(x.request.Arrived)),
+		eventlog.Milliseconds("took", x.gateway.Clock.Since(x.request.ReceivedAt)),
 		slog.Int64("version", int64(x.version)), eventlog.Milliseconds("version_age", x.age),
 	}
 	if x.job.Account != nil {
@@ -272,8 +272,8 @@
 // readBy is when a connection's reads end at the latest; connections wait by the steady
 // clock. Zero is no bound.
 func (x *exchange) readBy() time.Time {
-	if x.job.End.IsZero() {
+	if x.job.RespondBy.IsZero() {
 		return time.Time{}
 	}
-	return time.Now().Add(x.gateway.Clock.Until(x.job.End))
+	return time.Now().Add(x.gateway.Clock.Until(x.job.RespondBy))
 }
