--- a/internal/core/forward/forward_test.go
+++ b/internal/core/forward/forward_test.go
@@ -127,7 +127,7 @@
 	r := newRig(t, catalog.KindStream, platformtest.Stream(3, false), platformtest.Stream(6, true))
 	r.route.Resumable = false
 	result := r.do(context.Background())
-	if result.Outcome != graniteknot.OutcomeUnknown || !result.Begun || r.ran() != 1 {
+	if result.Outcome != graniteknot.OutcomeUnknown || !result.ResponseStarted || r.ran() != 1 {
 		t.Errorf("%+v, ran %d times", result, r.ran())
 	}
 }
--- a/internal/core/forward/forwarder.go
+++ b/internal/core/forward/forwarder.go
@@ -28,8 +28,8 @@
 	Clock graniteknot.AgeClock
 	// Fresh tells whether the configuration is new enough to trust a key.
 	Fresh func() bool
-	// Returns knows which callers come back.
-	Returns Returns
+	// RetryDetector knows which callers come back.
+	RetryDetector RetryDetector
 	// ConnLimit bounds this process's connections to one replica of a service.
 	ConnLimit func(*catalog.Service) int
 	// Quarantine knows which requests are kept from replicas; nil for none.
@@ -60,7 +60,7 @@
 		defer f.ends.begin(j.RespondBy, f.Clock.Until(j.RespondBy), func() { cancel(errTimeout) })()
 	}
 	r := &run{f: f, job: j, sink: sink, ctx: ctx, after: j.LastEventID}
-	r.result.Since = f.Returns.Since(j.Route, j.Request)
+	r.result.SinceFirstTry = f.RetryDetector.SinceFirstTry(j.Route, j.Request)
 	r.take()
 	r.answered()
 	return r.result
@@ -165,8 +165,8 @@
 // first try. A stream that is broken in the middle waits as one that has just come: its
 // caller counts the pause.
 func (r *run) waiting() fleet.Waiting {
-	from, first := r.job.ReceivedAt, r.job.ReceivedAt.Add(-r.result.Since)
-	if r.result.Begun {
+	from, first := r.job.ReceivedAt, r.job.ReceivedAt.Add(-r.result.SinceFirstTry)
+	if r.result.ResponseStarted {
 		from, first = r.lastPart, r.lastPart
 	}
 	return fleet.Waiting{
@@ -246,8 +246,8 @@
 
 // first notes the first byte of the answer.
 func (r *run) first() {
-	if r.result.First == 0 {
-		r.result.First = r.f.Clock.Since(r.job.ReceivedAt)
+	if r.result.FirstByte == 0 {
+		r.result.FirstByte = r.f.Clock.Since(r.job.ReceivedAt)
 	}
 }
 
--- a/internal/core/forward/giveup.go
+++ b/internal/core/forward/giveup.go
@@ -8,7 +8,7 @@
 
 // giveUp settles a request that gets no answer of its own.
 func (r *run) giveUp(why Reason) {
-	if r.spare != nil && !r.result.Begun && why != ReasonCallerGone {
+	if r.spare != nil && !r.result.ResponseStarted && why != ReasonCallerGone {
 		r.give(r.spare)
 		return
 	}
@@ -16,7 +16,7 @@
 	r.result.Outcome = graniteknot.OutcomeUnknown
 	if !r.mayHaveRun {
 		r.result.Outcome = graniteknot.OutcomeNotRun
-		r.result.Again = r.again(why)
+		r.result.RetryAfter = r.again(why)
 	}
 }
 
@@ -41,7 +41,7 @@
 	r.result.Status = a.status
 	r.result.Reason = ReasonNone
 	r.result.Outcome = graniteknot.OutcomeAnswered
-	r.result.Begun = true
+	r.result.ResponseStarted = true
 	if err := r.sink.Whole(a.status, a.header, a.body); err != nil {
 		r.result.Outcome = graniteknot.OutcomeUnknown
 		r.result.Reason = ReasonCallerGone
--- a/internal/core/forward/result.go
+++ b/internal/core/forward/result.go
@@ -46,22 +46,22 @@
 type Result struct {
 	Outcome graniteknot.Outcome
 	Reason  Reason
-	// Begun tells that a part of the answer was passed on.
-	Begun bool
-	// Again is when to come back, for requests that did not run.
-	Again time.Duration
+	// ResponseStarted tells that a part of the answer was passed on.
+	ResponseStarted bool
+	// RetryAfter is when to come back, for requests that did not run.
+	RetryAfter time.Duration
 	// Status is the answer's, 0 without one.
 	Status   int
 	Attempts int
-	// First is the time from arrival to the first byte of the answer.
-	First time.Duration
-	// Pause is the longest time between two parts of a stream.
-	Pause time.Duration
-	// PauseAt is when the longest one ended, from arrival on.
-	PauseAt time.Duration
-	// Since is how long before this try at least its caller first tried; 0 where this may
+	// FirstByte is the time from arrival to the first byte of the answer.
+	FirstByte time.Duration
+	// MaxPause is the longest time between two parts of a stream.
+	MaxPause time.Duration
+	// MaxPauseAt is when the longest one ended, from arrival on.
+	MaxPauseAt time.Duration
+	// SinceFirstTry is how long before this try at least its caller first tried; 0 where this may
 	// be the first.
-	Since time.Duration
+	SinceFirstTry time.Duration
 	// Identity is the same for all requests that are the same but for their ids; empty
 	// where it was not needed.
 	Identity string
--- a/internal/core/forward/stream.go
+++ b/internal/core/forward/stream.go
@@ -43,7 +43,7 @@
 
 // ended settles a stream that its replica ended.
 func (r *run) ended(answer *http.Response) (step, fleet.Verdict, Reason, bool) {
-	if !r.result.Begun && !r.begin(answer) {
+	if !r.result.ResponseStarted && !r.begin(answer) {
 		return stepDone, fleet.VerdictNone, ReasonCallerGone, false
 	}
 	r.finish(answer.StatusCode)
@@ -52,7 +52,7 @@
 
 // pass gives whole events to the caller; true when the caller is gone.
 func (r *run) pass(answer *http.Response, whole []byte, last EventID) (gone bool) {
-	if !r.result.Begun && !r.begin(answer) {
+	if !r.result.ResponseStarted && !r.begin(answer) {
 		return true
 	}
 	now := r.f.Clock.Now()
@@ -72,8 +72,8 @@
 
 // paused takes in the time since the last part.
 func (r *run) paused(now time.Time) {
-	if pause := now.Sub(r.lastPart); pause > r.result.Pause {
-		r.result.Pause, r.result.PauseAt = pause, now.Sub(r.job.ReceivedAt)
+	if pause := now.Sub(r.lastPart); pause > r.result.MaxPause {
+		r.result.MaxPause, r.result.MaxPauseAt = pause, now.Sub(r.job.ReceivedAt)
 	}
 }
 
@@ -84,7 +84,7 @@
 		r.giveUp(ReasonCallerGone)
 		return false
 	}
-	r.result.Begun = true
+	r.result.ResponseStarted = true
 	r.result.Status = answer.StatusCode
 	return true
 }
--- a/internal/core/forward/word_test.go
+++ b/internal/core/forward/word_test.go
@@ -56,12 +56,12 @@
 		clock := graniteknot.AgeClock{Suspension: &away}
 		r.forward.Clock, r.forward.Fleet.Clock = clock, clock
 		if result := r.do(context.Background()); result.Reason != forward.ReasonRefused || result.Attempts != 2 ||
-			result.Outcome != graniteknot.OutcomeNotRun || result.Again < time.Second || result.Again > 2*time.Second {
+			result.Outcome != graniteknot.OutcomeNotRun || result.RetryAfter < time.Second || result.RetryAfter > 2*time.Second {
 			t.Errorf("%v: %+v", kind, result)
 		}
 		began := time.Now()
 		if result := r.do(context.Background()); result.Reason != forward.ReasonResting || result.Attempts != 0 ||
-			result.Outcome != graniteknot.OutcomeNotRun || result.Again < time.Second || result.Again > 2*time.Second {
+			result.Outcome != graniteknot.OutcomeNotRun || result.RetryAfter < time.Second || result.RetryAfter > 2*time.Second {
 			t.Errorf("%v, again: %+v", kind, result)
 		}
 		if took := time.Since(began); took > time.Second {
@@ -84,7 +84,7 @@
 func TestRefusedOnceComesBackSoon(t *testing.T) {
 	r := newRig(t, catalog.KindRepeatable, platformtest.Shed("3"), platformtest.Answer("second"))
 	r.route.Attempts = 1
-	if result := r.do(context.Background()); result.Reason != forward.ReasonRefused || result.Again != 0 {
+	if result := r.do(context.Background()); result.Reason != forward.ReasonRefused || result.RetryAfter != 0 {
 		t.Errorf("%+v", result)
 	}
 	if result := r.do(context.Background()); result.Outcome != graniteknot.OutcomeAnswered || result.Attempts != 1 {
--- a/internal/core/gateway/metrics.go
+++ b/internal/core/gateway/metrics.go
@@ -73,9 +73,9 @@
 		meter.Label{Name: "outcome", Value: r.Outcome.String()}, meter.Label{Name: "reason", Value: string(r.Reason)})
 	m.Observe("graniteknot_request_seconds", x.gateway.Clock.Since(x.request.ReceivedAt), service, kind)
 	if r.Outcome == graniteknot.OutcomeAnswered {
-		m.Observe("graniteknot_first_byte_seconds", r.First, service, kind)
+		m.Observe("graniteknot_first_byte_seconds", r.FirstByte, service, kind)
 	}
-	if r.Pause > 0 {
-		m.Observe("graniteknot_longest_pause_seconds", r.Pause, service)
+	if r.MaxPause > 0 {
+		m.Observe("graniteknot_longest_pause_seconds", r.MaxPause, service)
 	}
 }
--- a/internal/core/gateway/serve.go
+++ b/internal/core/gateway/serve.go
@@ -150,7 +150,7 @@
 	status := result.Status
 	switch {
 	case result.Outcome == graniteknot.OutcomeAnswered:
-	case result.Begun:
+	case result.ResponseStarted:
 		status = 0
 	case result.Reason == forward.ReasonCallerGone:
 		status = 0
@@ -174,14 +174,14 @@
 // again is when the caller of a request that did not run may come back.
 func again(r *forward.Result) time.Duration {
 	if r.Reason == forward.ReasonBusy {
-		return time.Duration((1 + 0.4*rand.Float64()) * float64(max(r.Again, busyAgain)))
+		return time.Duration((1 + 0.4*rand.Float64()) * float64(max(r.RetryAfter, busyAgain)))
 	}
 	if r.Reason == forward.ReasonQuarantined {
 		return quarantinedAgain
 	}
-	if r.Again > 0 {
+	if r.RetryAfter > 0 {
 		// Who comes to replicas that have just rested comes spread over a while.
-		return time.Duration((1 + 0.2*rand.Float64()) * float64(max(r.Again, refusedAgain)))
+		return time.Duration((1 + 0.2*rand.Float64()) * float64(max(r.RetryAfter, refusedAgain)))
 	}
 	return refusedAgain
 }
@@ -194,19 +194,19 @@
 		slog.Int("status", status), slog.String("service", string(x.job.Service.Name)),
 		slog.String("route", x.job.Route.Name), slog.String("kind", x.job.Route.Kind.String()),
 		slog.Int("attempts", result.Attempts), slog.String("replica", result.Replica),
-		eventlog.Milliseconds("first", result.First), eventlog.Milliseconds("pause", result.Pause),
+		eventlog.Milliseconds("first", result.FirstByte), eventlog.Milliseconds("pause", result.MaxPause),
 		eventlog.Milliseconds("took", x.gateway.Clock.Since(x.request.ReceivedAt)),
 		slog.Int64("version", int64(x.version)), eventlog.Milliseconds("version_age", x.age),
 	}
 	if x.job.Account != nil {
 		fields = append(fields, slog.String("account", string(x.job.Account.Name)))
 	}
-	if result.Since > 0 {
-		fields = append(fields, eventlog.Milliseconds("since_first_try", result.Since))
+	if result.SinceFirstTry > 0 {
+		fields = append(fields, eventlog.Milliseconds("since_first_try", result.SinceFirstTry))
 	}
 	if late := x.late(result); late != "" {
 		fields = append(fields, slog.String("late", late), eventlog.Milliseconds("aim", x.job.Route.Aim),
-			eventlog.Milliseconds("pause_at", result.PauseAt))
+			eventlog.Milliseconds("pause_at", result.MaxPauseAt))
 	}
 	if result.Outcome == graniteknot.OutcomeAnswered {
 		x.gateway.Log.Info("request", fields...)
@@ -222,8 +222,8 @@
 // empty for one that is, or where the route says nothing.
 func (x *exchange) late(r *forward.Result) string {
 	route := x.job.Route
-	first := route.Aim > 0 && r.First > route.Aim
-	pause := route.GapAim > 0 && r.Pause > route.GapAim
+	first := route.Aim > 0 && r.FirstByte > route.Aim
+	pause := route.GapAim > 0 && r.MaxPause > route.GapAim
 	switch {
 	case r.Outcome != graniteknot.OutcomeAnswered:
 		return ""
