--- a/internal/core/forward/attempt.go
+++ b/internal/core/forward/attempt.go
@@ -53,7 +53,7 @@
 		f.Pool.Drop(l.Replica.Address, conn)
 	}()
 	answer, err := conn.Do(&conns.Call{ //nolint:bodyclose // The connection's end or reuse closes it.
-		Method: r.job.Method, Head: f.Dialect.Head(r.outgoing(l)), Body: r.job.Body, Mine: r.mine,
+		Method: r.job.Method, Head: f.Codec.Head(r.outgoing(l)), Body: r.job.Body, Mine: r.mine,
 	})
 	if err != nil {
 		return r.failed(err)
@@ -77,7 +77,7 @@
 	return &Attempt{RoutedRequest: r.job, Replica: &l.Replica, Timeout: left, LastEventID: r.after}
 }
 
-func (r *run) mine(h http.Header) bool { return r.f.Dialect.Marks(0, h).ID == r.job.ID }
+func (r *run) mine(h http.Header) bool { return r.f.Codec.Marks(0, h).RequestID == r.job.ID }
 
 // unsent acts on a connection that could not be had.
 func (r *run) unsent(err error) (step, fleet.Verdict, Reason) {
@@ -115,7 +115,7 @@
 
 // whole takes an answer that is passed on only when all of it is there.
 func (r *run) whole(l *fleet.Lease, answer *http.Response) (next step, v fleet.Verdict, why Reason, reuse bool) {
-	marks := r.f.Dialect.Marks(answer.StatusCode, answer.Header)
+	marks := r.f.Codec.Marks(answer.StatusCode, answer.Header)
 	if marks.NotRun {
 		_, err := io.Copy(io.Discard, io.LimitReader(answer.Body, maxBody))
 		return stepAgain, refusal(&marks), ReasonRefused, err == nil
@@ -152,8 +152,8 @@
 	return false
 }
 
-func refusal(m *Marks) fleet.Verdict {
-	if m.Elsewhere {
+func refusal(m *ResponseMetadata) fleet.Verdict {
+	if m.WrongReplica {
 		return fleet.VerdictGone
 	}
 	return fleet.VerdictFull
--- a/internal/core/forward/forward_test.go
+++ b/internal/core/forward/forward_test.go
@@ -135,12 +135,12 @@
 // TestStaleConfiguration refuses at the first try and at a later one.
 func TestStaleConfiguration(t *testing.T) {
 	r := newRig(t, catalog.KindRepeatable, platformtest.Lose, platformtest.Answer("second"))
-	r.forward.Fresh = func() bool { return r.ran() == 0 }
+	r.forward.ConfigFresh = func() bool { return r.ran() == 0 }
 	result := r.do(context.Background())
 	if result.Reason != forward.ReasonStale || result.Outcome != graniteknot.OutcomeUnknown || r.ran() != 1 {
 		t.Errorf("%+v, ran %d times", result, r.ran())
 	}
-	r.forward.Fresh = func() bool { return false }
+	r.forward.ConfigFresh = func() bool { return false }
 	if result := r.do(context.Background()); result.Outcome != graniteknot.OutcomeNotRun || r.ran() != 1 {
 		t.Errorf("%+v, ran %d times", result, r.ran())
 	}
--- a/internal/core/forward/forwarder.go
+++ b/internal/core/forward/forwarder.go
@@ -17,7 +17,7 @@
 
 // Forwarder takes requests to replicas. Set the exported fields.
 type Forwarder struct {
-	Dialect      Dialect
+	Codec        Codec
 	Pool         *conns.Pool
 	Fleet        *fleet.Table
 	RetryBudgets *RetryBudgets
@@ -26,8 +26,8 @@
 	Zone         graniteknot.AvailabilityZone
 	// Clock is what ages and deadlines are decided by.
 	Clock graniteknot.AgeClock
-	// Fresh tells whether the configuration is new enough to trust a key.
-	Fresh func() bool
+	// ConfigFresh tells whether the configuration is new enough to trust a key.
+	ConfigFresh func() bool
 	// RetryDetector knows which callers come back.
 	RetryDetector RetryDetector
 	// ConnLimit bounds this process's connections to one replica of a service.
@@ -91,7 +91,7 @@
 	// request waited for a connection.
 	withheld bool
 	// said is what the last attempt's answer said of its replica.
-	said Marks
+	said ResponseMetadata
 	// identity is the request's key once it was needed.
 	identity *quarantine.Key
 }
@@ -133,7 +133,7 @@
 			return
 		}
 		r.result.Attempts++
-		r.broke, r.withheld, r.said = false, false, Marks{}
+		r.broke, r.withheld, r.said = false, false, ResponseMetadata{}
 		r.result.Replica = lease.Replica.Life().String()
 		next, verdict, why := r.attempt(lease)
 		lease.End(verdict, f.Clock.Now())
@@ -203,7 +203,7 @@
 		return r.stopReason(), false
 	case r.over():
 		return ReasonTimeout, false
-	case r.job.Account != nil && !r.f.Fresh():
+	case r.job.Account != nil && !r.f.ConfigFresh():
 		return ReasonStale, false
 	case r.quarantined():
 		return ReasonQuarantined, false
--- a/internal/core/forward/giveup.go
+++ b/internal/core/forward/giveup.go
@@ -42,7 +42,7 @@
 	r.result.Reason = ReasonNone
 	r.result.Outcome = graniteknot.OutcomeAnswered
 	r.result.ResponseStarted = true
-	if err := r.sink.Whole(a.status, a.header, a.body); err != nil {
+	if err := r.sink.WriteResponse(a.status, a.header, a.body); err != nil {
 		r.result.Outcome = graniteknot.OutcomeUnknown
 		r.result.Reason = ReasonCallerGone
 	}
--- a/internal/core/forward/stream.go
+++ b/internal/core/forward/stream.go
@@ -15,7 +15,7 @@
 
 // stream passes the events of an answer on as they come.
 func (r *run) stream(l *fleet.Lease, answer *http.Response) (next step, v fleet.Verdict, why Reason, reuse bool) {
-	marks := r.f.Dialect.Marks(answer.StatusCode, answer.Header)
+	marks := r.f.Codec.Marks(answer.StatusCode, answer.Header)
 	r.mayHaveRun = true
 	if !marks.Sealed {
 		return stepAgain, fleet.VerdictBad, ReasonSpoiled, false
@@ -60,7 +60,7 @@
 		r.paused(now)
 	}
 	r.lastPart = now
-	if err := r.sink.Events(whole); err != nil {
+	if err := r.sink.WriteEvents(whole); err != nil {
 		r.giveUp(ReasonCallerGone)
 		return true
 	}
@@ -80,7 +80,7 @@
 // begin passes the head of a stream on; false when the caller is gone.
 func (r *run) begin(answer *http.Response) bool {
 	r.first()
-	if err := r.sink.Begin(answer.StatusCode, answer.Header); err != nil {
+	if err := r.sink.BeginStream(answer.StatusCode, answer.Header); err != nil {
 		r.giveUp(ReasonCallerGone)
 		return false
 	}
--- a/internal/core/forward/suspension_test.go
+++ b/internal/core/forward/suspension_test.go
@@ -67,7 +67,7 @@
 			clock := graniteknot.AgeClock{Suspension: &away}
 			r.forward.Clock, r.forward.Fleet.Clock = clock, clock
 			var stale atomic.Bool
-			r.forward.Fresh = func() bool { return !stale.Load() }
+			r.forward.ConfigFresh = func() bool { return !stale.Load() }
 			job := r.waitsForPlace()
 			r.whileWaiting(t, job.Service, func() {
 				away.Add(int64(c.suspended))
@@ -100,7 +100,7 @@
 		waits.Go(func(context.Context) {
 			<-begun
 			away.Add(int64(suspended))
-			r.forward.Expire()
+			r.forward.CancelExpired()
 			if !ends {
 				close(release)
 			}
--- a/internal/core/gateway/follow.go
+++ b/internal/core/gateway/follow.go
@@ -279,7 +279,7 @@
 func (g *Gateway) watchSilence() {
 	g.sendLimitsNow()
 	g.tellLost()
-	g.Forward.Expire()
+	g.Forward.CancelExpired()
 	changed, stuck := g.Fleet.Watch(g.Clock.Now())
 	for _, c := range changed {
 		g.Log.Warn("replica silent", slog.String("replica", string(c.Replica)), slog.Bool("silent", c.Silent),
--- a/internal/core/gateway/gateway.go
+++ b/internal/core/gateway/gateway.go
@@ -139,8 +139,8 @@
 	g.Health.Log = p.Log
 	g.Fleet.Clock, g.Pool.Clock = p.Clock, p.Clock
 	g.Forward = forward.Forwarder{
-		Dialect: p.Translator, Pool: &g.Pool, Fleet: &g.Fleet, Log: p.Log, Meter: p.Meter, Zone: p.Config.Zone,
-		Clock: p.Clock, Fresh: g.fresh, ConnLimit: g.connLimit, Quarantine: &g.Quarantine,
+		Codec: p.Translator, Pool: &g.Pool, Fleet: &g.Fleet, Log: p.Log, Meter: p.Meter, Zone: p.Config.Zone,
+		Clock: p.Clock, ConfigFresh: g.fresh, ConnLimit: g.connLimit, Quarantine: &g.Quarantine,
 		RetryBudgets: &forward.RetryBudgets{Percent: g.retryPercent, Burst: g.retryBurst},
 	}
 	g.Quarantine.Changed = g.quarantineChanged
--- a/internal/core/gateway/serve.go
+++ b/internal/core/gateway/serve.go
@@ -237,8 +237,8 @@
 	return ""
 }
 
-// Whole implements forward.Sink.
-func (x *exchange) Whole(status int, h http.Header, body []byte) error {
+// WriteResponse implements forward.Sink.
+func (x *exchange) WriteResponse(status int, h http.Header, body []byte) error {
 	x.gateway.Translator.Answer(h, x.w.Header())
 	x.noType()
 	x.w.WriteHeader(status)
@@ -246,8 +246,8 @@
 	return err
 }
 
-// Begin implements forward.Sink.
-func (x *exchange) Begin(status int, h http.Header) error {
+// BeginStream implements forward.Sink.
+func (x *exchange) BeginStream(status int, h http.Header) error {
 	x.gateway.Translator.Answer(h, x.w.Header())
 	x.noType()
 	x.w.WriteHeader(status)
@@ -261,8 +261,8 @@
 	}
 }
 
-// Events implements forward.Sink.
-func (x *exchange) Events(b []byte) error {
+// WriteEvents implements forward.Sink.
+func (x *exchange) WriteEvents(b []byte) error {
 	if _, err := x.w.Write(b); err != nil {
 		return err
 	}
--- a/internal/core/gateway/translator.go
+++ b/internal/core/gateway/translator.go
@@ -11,7 +11,7 @@
 
 // Translator knows the words of a platform.
 type Translator interface {
-	forward.Dialect
+	forward.Codec
 	// Tree reads a settings record; nil for a record that is no configuration.
 	Tree(r graniteknot.KeyedRecord) (*catalog.Tree, error)
 	// Replica reads a replica's record.
