--- a/internal/core/forward/attempt.go
+++ b/internal/core/forward/attempt.go
@@ -36,7 +36,7 @@
 	if !l.Allowed(f.Clock.Now()) {
 		f.Pool.Put(l.Replica.Address, conn)
 		r.withheld = true
-		return stepAgain, fleet.VerdictNone, ReasonResting
+		return stepAgain, fleet.VerdictNone, ReasonReplicaBackoff
 	}
 	stop := context.AfterFunc(r.ctx, conn.Abort)
 	r.move = &mover{conn: conn}
@@ -89,14 +89,14 @@
 	if errors.As(err, &e) && e.Kind == conns.KindFull {
 		return stepAgain, fleet.VerdictFull, ReasonBusy
 	}
-	return stepAgain, fleet.VerdictBad, ReasonUnreached
+	return stepAgain, fleet.VerdictBad, ReasonUnreachable
 }
 
 // failed acts on a request that was sent, or partly, and has no answer.
 func (r *run) failed(err error) (step, fleet.Verdict, Reason) {
 	var e *conns.Error
 	if errors.As(err, &e) && e.Kind == conns.KindUnsent {
-		return stepAgain, fleet.VerdictBad, ReasonUnreached
+		return stepAgain, fleet.VerdictBad, ReasonUnreachable
 	}
 	r.mayHaveRun = true
 	if r.ctx.Err() != nil {
@@ -104,13 +104,13 @@
 		return stepDone, fleet.VerdictNone, r.result.Reason
 	}
 	if r.move.end() {
-		return stepAgain, fleet.VerdictNone, ReasonSilent
+		return stepAgain, fleet.VerdictNone, ReasonReplicaSilent
 	}
 	r.broke = true
 	if e != nil && e.Kind == conns.KindSpoiled {
-		return stepAgain, fleet.VerdictBad, ReasonSpoiled
+		return stepAgain, fleet.VerdictBad, ReasonInvalidResponse
 	}
-	return stepAgain, fleet.VerdictBad, ReasonLost
+	return stepAgain, fleet.VerdictBad, ReasonResponseLost
 }
 
 // whole takes an answer that is passed on only when all of it is there.
@@ -128,12 +128,12 @@
 		return next, v, why, false
 	}
 	if !marks.Sealed || promised(answer.StatusCode) {
-		return stepAgain, fleet.VerdictBad, ReasonSpoiled, true
+		return stepAgain, fleet.VerdictBad, ReasonInvalidResponse, true
 	}
 	a := &reply{status: answer.StatusCode, header: answer.Header, body: body}
 	if answer.StatusCode >= http.StatusInternalServerError && r.job.Route.Repeats() {
 		r.spare = a
-		return stepAgain, fleet.VerdictBad, ReasonLost, true
+		return stepAgain, fleet.VerdictBad, ReasonResponseLost, true
 	}
 	r.give(a)
 	verdict := fleet.VerdictGood
--- a/internal/core/forward/forward_test.go
+++ b/internal/core/forward/forward_test.go
@@ -99,7 +99,7 @@
 func TestBudgetBoundsRetries(t *testing.T) {
 	r := newRig(t, catalog.KindRepeatable, platformtest.Lose, platformtest.Answer("second"))
 	r.forward.RetryBudgets = &forward.RetryBudgets{}
-	if result := r.do(context.Background()); result.Reason != forward.ReasonBudget || r.ran() != 1 {
+	if result := r.do(context.Background()); result.Reason != forward.ReasonRetryBudget || r.ran() != 1 {
 		t.Errorf("%+v, ran %d times", result, r.ran())
 	}
 }
@@ -137,7 +137,7 @@
 	r := newRig(t, catalog.KindRepeatable, platformtest.Lose, platformtest.Answer("second"))
 	r.forward.ConfigFresh = func() bool { return r.ran() == 0 }
 	result := r.do(context.Background())
-	if result.Reason != forward.ReasonStale || result.Outcome != graniteknot.OutcomeUnknown || r.ran() != 1 {
+	if result.Reason != forward.ReasonStaleConfig || result.Outcome != graniteknot.OutcomeUnknown || r.ran() != 1 {
 		t.Errorf("%+v, ran %d times", result, r.ran())
 	}
 	r.forward.ConfigFresh = func() bool { return false }
@@ -161,7 +161,7 @@
 	callers.Go(func() { results <- r.do(ctx) })
 	<-arrived
 	cancel()
-	if result := <-results; result.Reason != forward.ReasonCallerGone {
+	if result := <-results; result.Reason != forward.ReasonClientGone {
 		t.Errorf("%+v", result)
 	}
 	<-ended
--- a/internal/core/forward/forwarder.go
+++ b/internal/core/forward/forwarder.go
@@ -185,9 +185,9 @@
 	}
 	if r.f.Fleet.Rested(r.query()) > 0 {
 		if r.f.Fleet.Scarce(r.job.Service.Name, r.f.Clock.Now()) {
-			return ReasonLimited
+			return ReasonRateLimited
 		}
-		return ReasonResting
+		return ReasonReplicaBackoff
 	}
 	if all, _ := r.f.Fleet.Count(r.job.Service.Name, r.f.Clock.Now()); all == 0 {
 		return ReasonNoReplica
@@ -204,7 +204,7 @@
 	case r.over():
 		return ReasonTimeout, false
 	case r.job.Account != nil && !r.f.ConfigFresh():
-		return ReasonStale, false
+		return ReasonStaleConfig, false
 	case r.quarantined():
 		return ReasonQuarantined, false
 	}
@@ -226,7 +226,7 @@
 		return r.result.Reason, false
 	}
 	if !r.f.RetryBudgets.Withdraw(r.job.Service.Name) {
-		return ReasonBudget, false
+		return ReasonRetryBudget, false
 	}
 	return ReasonNone, true
 }
@@ -241,7 +241,7 @@
 	if errors.Is(context.Cause(r.ctx), errTimeout) {
 		return ReasonTimeout
 	}
-	return ReasonCallerGone
+	return ReasonClientGone
 }
 
 // first notes the first byte of the answer.
--- a/internal/core/forward/result.go
+++ b/internal/core/forward/result.go
@@ -12,34 +12,34 @@
 // The reasons.
 const (
 	ReasonNone Reason = ""
-	// ReasonStale is a configuration that is too old to trust a key.
-	ReasonStale Reason = "stale-configuration"
+	// ReasonStaleConfig is a configuration that is too old to trust a key.
+	ReasonStaleConfig Reason = "stale-configuration"
 	// ReasonNoReplica is a service without a usable replica.
 	ReasonNoReplica Reason = "no-replica"
 	// ReasonBusy is a service whose replicas have no room in time.
 	ReasonBusy Reason = "busy"
 	// ReasonRefused is a replica's word that it did not run the request.
 	ReasonRefused Reason = "refused-by-replica"
-	// ReasonUnreached are replicas that could not be connected to.
-	ReasonUnreached Reason = "unreached"
-	// ReasonLost is an answer that did not come, or not whole.
-	ReasonLost Reason = "answer-lost"
-	// ReasonSpoiled is an answer that can't be trusted.
-	ReasonSpoiled Reason = "answer-spoiled"
+	// ReasonUnreachable are replicas that could not be connected to.
+	ReasonUnreachable Reason = "unreached"
+	// ReasonResponseLost is an answer that did not come, or not whole.
+	ReasonResponseLost Reason = "answer-lost"
+	// ReasonInvalidResponse is an answer that can't be trusted.
+	ReasonInvalidResponse Reason = "answer-spoiled"
 	// ReasonTimeout is the end of the request's time.
 	ReasonTimeout Reason = "timeout"
-	// ReasonCallerGone is a caller that left.
-	ReasonCallerGone Reason = "caller-gone"
-	// ReasonSilent is a replica that was cut off, whose request was moved.
-	ReasonSilent Reason = "replica-silent"
+	// ReasonClientGone is a caller that left.
+	ReasonClientGone Reason = "caller-gone"
+	// ReasonReplicaSilent is a replica that was cut off, whose request was moved.
+	ReasonReplicaSilent Reason = "replica-silent"
 	// ReasonQuarantined is a request that ends the replicas that run it.
 	ReasonQuarantined Reason = "ends-replicas"
-	// ReasonResting are replicas that all asked this process for rest.
-	ReasonResting Reason = "replicas-rest"
-	// ReasonLimited are replicas that all named a limit, of which this process has no part now.
-	ReasonLimited Reason = "replicas-limited"
-	// ReasonBudget is an empty retry budget.
-	ReasonBudget Reason = "retry-budget"
+	// ReasonReplicaBackoff are replicas that all asked this process for rest.
+	ReasonReplicaBackoff Reason = "replicas-rest"
+	// ReasonRateLimited are replicas that all named a limit, of which this process has no part now.
+	ReasonRateLimited Reason = "replicas-limited"
+	// ReasonRetryBudget is an empty retry budget.
+	ReasonRetryBudget Reason = "retry-budget"
 )
 
 // Result is how a request ended.
--- a/internal/core/forward/stream.go
+++ b/internal/core/forward/stream.go
@@ -18,7 +18,7 @@
 	marks := r.f.Codec.Marks(answer.StatusCode, answer.Header)
 	r.mayHaveRun = true
 	if !marks.Sealed {
-		return stepAgain, fleet.VerdictBad, ReasonSpoiled, false
+		return stepAgain, fleet.VerdictBad, ReasonInvalidResponse, false
 	}
 	events := splitter{}
 	buffer := make([]byte, readSize)
@@ -27,7 +27,7 @@
 		if whole := events.add(buffer[:n]); len(whole) > 0 {
 			l.Heard(r.f.Clock.Now())
 			if gone := r.pass(answer, whole, events.last); gone {
-				return stepDone, fleet.VerdictNone, ReasonCallerGone, false
+				return stepDone, fleet.VerdictNone, ReasonClientGone, false
 			}
 		}
 		if err == nil {
@@ -44,7 +44,7 @@
 // ended settles a stream that its replica ended.
 func (r *run) ended(answer *http.Response) (step, fleet.Verdict, Reason, bool) {
 	if !r.result.ResponseStarted && !r.begin(answer) {
-		return stepDone, fleet.VerdictNone, ReasonCallerGone, false
+		return stepDone, fleet.VerdictNone, ReasonClientGone, false
 	}
 	r.finish(answer.StatusCode)
 	return stepDone, fleet.VerdictGood, ReasonNone, true
@@ -61,7 +61,7 @@
 	}
 	r.lastPart = now
 	if err := r.sink.WriteEvents(whole); err != nil {
-		r.giveUp(ReasonCallerGone)
+		r.giveUp(ReasonClientGone)
 		return true
 	}
 	if last != "" {
@@ -81,7 +81,7 @@
 func (r *run) begin(answer *http.Response) bool {
 	r.first()
 	if err := r.sink.BeginStream(answer.StatusCode, answer.Header); err != nil {
-		r.giveUp(ReasonCallerGone)
+		r.giveUp(ReasonClientGone)
 		return false
 	}
 	r.result.ResponseStarted = true
--- a/internal/core/forward/suspension_test.go
+++ b/internal/core/forward/suspension_test.go
@@ -54,12 +54,12 @@
 		stale     bool
 		reason    forward.Reason
 	}{
-		"key too old":           {0, true, forward.ReasonStale},
+		"key too old":           {0, true, forward.ReasonStaleConfig},
 		"suspended for 0.5 s":   {500 * time.Millisecond, false, forward.ReasonNone},
 		"suspended for 3 s":     {3 * time.Second, false, forward.ReasonNone},
 		"suspended for 30 s":    {30 * time.Second, false, forward.ReasonTimeout},
 		"both, in that order":   {30 * time.Second, true, forward.ReasonTimeout},
-		"stale and a short one": {500 * time.Millisecond, true, forward.ReasonStale},
+		"stale and a short one": {500 * time.Millisecond, true, forward.ReasonStaleConfig},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, catalog.KindRepeatable, platformtest.Answer("first"))
--- a/internal/core/forward/word_test.go
+++ b/internal/core/forward/word_test.go
@@ -60,7 +60,7 @@
 			t.Errorf("%v: %+v", kind, result)
 		}
 		began := time.Now()
-		if result := r.do(context.Background()); result.Reason != forward.ReasonResting || result.Attempts != 0 ||
+		if result := r.do(context.Background()); result.Reason != forward.ReasonReplicaBackoff || result.Attempts != 0 ||
 			result.Outcome != graniteknot.OutcomeNotRun || result.RetryAfter < time.Second || result.RetryAfter > 2*time.Second {
 			t.Errorf("%v, again: %+v", kind, result)
 		}
--- a/internal/core/gateway/serve.go
+++ b/internal/core/gateway/serve.go
@@ -80,7 +80,7 @@
 // admit makes the job of a request that the configuration allows; nil after a refusal.
 func (x *exchange) admit(found grant) *forward.RoutedRequest {
 	if found.account != nil && !x.gateway.fresh() {
-		x.refuse(http.StatusServiceUnavailable, string(forward.ReasonStale), refusedAgain)
+		x.refuse(http.StatusServiceUnavailable, string(forward.ReasonStaleConfig), refusedAgain)
 		return nil
 	}
 	route := found.route
@@ -152,7 +152,7 @@
 	case result.Outcome == graniteknot.OutcomeAnswered:
 	case result.ResponseStarted:
 		status = 0
-	case result.Reason == forward.ReasonCallerGone:
+	case result.Reason == forward.ReasonClientGone:
 		status = 0
 	case result.Outcome == graniteknot.OutcomeNotRun:
 		status = http.StatusServiceUnavailable
