--- a/internal/core/forward/endings.go
+++ b/internal/core/forward/endings.go
@@ -114,12 +114,12 @@
 		fields = append(fields, slog.String("account", string(j.Account.Name)))
 	}
 	if q := f.Quarantine; q != nil {
-		now, note := f.Clock.Now(), q.Ended
+		now, note := f.Clock.Now(), q.RecordCrash
 		if suspect {
-			note = q.EndedUnanswered
+			note = q.RecordCrashBeforeResponse
 		}
 		taken := note(key, replica.Life().Mark(), now)
-		fields = append(fields, slog.Bool("counted", taken), slog.Bool("suspect", suspect), slog.Bool("kept_from_replicas", q.Keeps(key, now)))
+		fields = append(fields, slog.Bool("counted", taken), slog.Bool("suspect", suspect), slog.Bool("kept_from_replicas", q.Blocked(key, now)))
 	}
 	f.Log.Warn("replica ended", fields...)
 }
--- a/internal/core/gateway/gateway.go
+++ b/internal/core/gateway/gateway.go
@@ -143,7 +143,7 @@
 		Clock: p.Clock, ConfigFresh: g.fresh, ConnLimit: g.connLimit, Quarantine: &g.Quarantine,
 		RetryBudgets: &forward.RetryBudgets{Percent: g.retryPercent, Burst: g.retryBurst},
 	}
-	g.Quarantine.Changed = g.quarantineChanged
+	g.Quarantine.OnChange = g.quarantineChanged
 	g.Fleet.OnOutbox(quota.BoxOf(p.Config.Box), g.limitsDue)
 	return g
 }
--- a/internal/core/gateway/metrics.go
+++ b/internal/core/gateway/metrics.go
@@ -38,7 +38,7 @@
 	})
 	g.Meter.Gauge("graniteknot_replicas_known", func() float64 { return float64(len(g.Fleet.IDs())) })
 	g.Meter.Gauge("graniteknot_replica_connections_opened", func() float64 { return float64(g.Pool.Opened()) })
-	g.Meter.Gauge("graniteknot_requests_quarantined", func() float64 { return float64(g.Quarantine.Blocking()) })
+	g.Meter.Gauge("graniteknot_requests_quarantined", func() float64 { return float64(g.Quarantine.QuarantinedCount()) })
 	g.Meter.Gauge("graniteknot_replicas_limited", func() float64 { return float64(len(g.Fleet.Limits(g.Clock.Now()))) })
 	g.Meter.Gauge("graniteknot_store_renewals", func() float64 { return float64(g.Health.Renewals()) })
 	g.Meter.Gauge("graniteknot_log_lines_dropped", func() float64 { return float64(g.dropped()) })
--- a/internal/core/gateway/quarantine.go
+++ b/internal/core/gateway/quarantine.go
@@ -52,12 +52,12 @@
 // logQuarantined tells of a request that is kept from replicas from now on, or no more.
 func (g *Gateway) logQuarantined(e *quarantine.Entry) {
 	switch {
-	case e.Blocks():
-		g.Log.Warn("request quarantined", slog.String("identity", e.Key.String()), slog.Int("replicas", len(e.Lives)))
+	case e.Quarantined():
+		g.Log.Warn("request quarantined", slog.String("identity", e.Key.String()), slog.Int("replicas", len(e.CrashedReplicas)))
 	case e.Suspect && !e.Released:
 		g.Log.Warn("request suspected", slog.String("identity", e.Key.String()))
 	case e.Released:
-		g.Log.Info("request released", slog.String("identity", e.Key.String()), slog.Int("replicas", len(e.Lives)))
+		g.Log.Info("request released", slog.String("identity", e.Key.String()), slog.Int("replicas", len(e.CrashedReplicas)))
 	}
 }
 
@@ -175,13 +175,13 @@
 func (g *Gateway) takeQuarantine(records []graniteknot.KeyedRecord, _ time.Time) {
 	now := g.Clock.Now()
 	for _, r := range records {
-		e, err := quarantine.EntryOf(r)
+		e, err := quarantine.DecodeRecord(r)
 		if err != nil {
 			g.malformed("quarantine", r, err)
 			continue
 		}
 		g.ward.store(&e)
-		if whole, known := g.Quarantine.Entry(e.Key, now); known && whole.Released && e.Blocks() {
+		if whole, known := g.Quarantine.Entry(e.Key, now); known && whole.Released && e.Quarantined() {
 			// A copy of the store has it from before its release.
 			g.ward.expect(&whole, now.Add(rand.N(wardPatience)))
 		}
@@ -215,7 +215,7 @@
 	if !known {
 		e = quarantine.Entry{Key: k, Released: true}
 	}
-	r, err := quarantine.RecordOf(&e)
+	r, err := quarantine.EncodeRecord(&e)
 	if err == nil {
 		_, err = g.Store.Append(g.group.Context(), graniteknot.TopicQuarantine, r)
 	}
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -89,7 +89,7 @@
 	},
 	{
 		Name: "suspects are not kept", File: "internal/core/quarantine/entry.go",
-		Old: "i.Blocks() || i.Suspect && !i.Released && now.Sub(i.since) < suspectFor", New: "i.Blocks() || now.Sub(i.since) < 0",
+		Old: "i.Quarantined() || i.Suspect && !i.Released && now.Sub(i.since) < suspectFor", New: "i.Quarantined() || now.Sub(i.since) < 0",
 		Package: "internal/core/forward", Test: "TestOneEndInALockStepGroup",
 	},
 	{
