--- a/internal/core/retry/budget.go
+++ b/internal/core/retry/budget.go
@@ -1,94 +1,93 @@
-// Package retry bounds retries as a share of first attempts, so that a
-// failing pool is not buried under them. Which failures may be retried is left
-// to package relay.
+// Package retry limits retries to a share of first attempts, so that retries
+// do not overload a failing pool. Its users decide which failures may be retried.
 package retry
 
 import "sync"
 
-// The part of the budget that does not depend on traffic.
+// Token counts that apply when Burst is nil.
 const (
-	// burst is what the budget holds at most, in retries.
-	burst = 50
-	// initial is what a new budget holds, so that a quiet entry can retry.
-	initial = 5
+	// defaultBurst is the capacity.
+	defaultBurst = 50
+	// defaultInitialTokens lets a process with little traffic retry, too.
+	defaultInitialTokens = 5
 )
 
-// Budget is a bucket that first attempts fill and retries empty. The zero
-// value allows only the initial retries; set Percent.
+// Budget is a token bucket: first attempts add tokens, and each retry takes one.
+// The zero value allows only the initial retries; set Percent.
 type Budget struct {
-	// Percent is how many retries a hundred first attempts allow.
+	// Percent is how many retries are allowed per 100 first attempts.
 	Percent func() int64
-	// Burst is what the budget holds at most, in retries, and half of which a
-	// new one holds; nil is the package's own figures.
+	// Burst is the capacity in tokens, of which a new budget holds half; nil
+	// selects the defaults.
 	Burst func() float64
-	// Unlimited allows every retry, for the baseline of benchmarks.
+	// Unlimited allows every retry; benchmarks use it as their baseline.
 	Unlimited bool
 
-	mu    sync.Mutex
-	begun bool
-	// held is how many retries are allowed now, from 0 to burst.
-	held float64
-	// spent and denied count the answers of Spend.
-	spent, denied uint64
+	mu          sync.Mutex
+	initialized bool
+	// tokens is how many retries are allowed now, from 0 to the capacity.
+	tokens float64
+	// allowed and denied count the results of Withdraw.
+	allowed, denied uint64
 }
 
-// RecordFirstAttempt notes a first attempt.
+// RecordFirstAttempt adds the share of a token that one first attempt earns.
 func (b *Budget) RecordFirstAttempt() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.start()
+	b.initialize()
 	if b.Percent != nil {
-		b.held = min(b.most(), b.held+float64(b.Percent())/100)
+		b.tokens = min(b.capacity(), b.tokens+float64(b.Percent())/100)
 	}
 }
 
-// Available tells whether a retry would be allowed now.
+// Available reports whether a retry would be allowed now.
 func (b *Budget) Available() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.start()
-	return b.Unlimited || b.held >= 1
+	b.initialize()
+	return b.Unlimited || b.tokens >= 1
 }
 
-// Withdraw asks for one retry.
+// Withdraw takes the token of one retry; false if there is none.
 func (b *Budget) Withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.start()
+	b.initialize()
 	if b.Unlimited {
-		b.spent++
+		b.allowed++
 		return true
 	}
-	if b.held < 1 {
+	if b.tokens < 1 {
 		b.denied++
 		return false
 	}
-	b.held--
-	b.spent++
+	b.tokens--
+	b.allowed++
 	return true
 }
 
-func (b *Budget) start() {
-	if !b.begun {
-		b.begun = true
-		b.held = initial
+func (b *Budget) initialize() {
+	if !b.initialized {
+		b.initialized = true
+		b.tokens = defaultInitialTokens
 		if b.Burst != nil {
-			b.held = b.Burst() / 2
+			b.tokens = b.Burst() / 2
 		}
 	}
 }
 
-// most is what the budget holds at most.
-func (b *Budget) most() float64 {
+// capacity is the greatest number of tokens that the budget holds.
+func (b *Budget) capacity() float64 {
 	if b.Burst != nil {
 		return b.Burst()
 	}
-	return burst
+	return defaultBurst
 }
 
 // Counts returns how many retries were allowed and denied.
-func (b *Budget) Counts() (spent, denied uint64) {
+func (b *Budget) Counts() (allowed, denied uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.spent, b.denied
+	return b.allowed, b.denied
 }
