--- a/internal/core/quarantine/doc.go
+++ b/internal/core/quarantine/doc.go
@@ -1,8 +1,9 @@
-// Package quarantine knows which requests end the replicas that run them. A request
-// comes again under another id, at any box: what makes two the same is a Key. A Table
-// holds, by key, the lives of replicas that ended while they worked on the request, and
-// merges what other processes hold, in any order and as often as it comes, to the same.
+// Package quarantine tracks requests that crash the replicas that run them. Such a
+// request returns under another ID, possibly through another gateway; a Key identifies
+// it by its content. A Table records, by key, the replicas that crashed while they
+// worked on the request. Tables of several processes converge: merges may come in any
+// order, and more than once.
 //
-// Finding out that a replica has ended is left to package forward, telling other
-// processes and keeping records to package gateway.
+// Package forward detects the crashes; package gateway exchanges entries with other
+// processes and stores the records.
 package quarantine
--- a/internal/core/quarantine/entry.go
+++ b/internal/core/quarantine/entry.go
@@ -11,54 +11,57 @@
 )
 
 const (
-	// enough is under how many ended replicas a request is kept from all others. One may
-	// end for any reason under a dozen requests; that the next one that gets the same
-	// request ends too is seldom chance. Each more costs all callers
-	// of a lock-step group the seconds until it opens again.
-	enough = 2
-	// mostLives bounds the lives that are kept of an entry; those with the least marks
-	// are, so that all processes keep the same.
-	mostLives = 4
+	// quarantineThreshold is the number of crashed replicas from which on a request is
+	// quarantined. One replica may crash for any reason with a dozen requests in
+	// progress; that the next one that gets the same request crashes as well is rarely a
+	// coincidence. In a lock-step group, each further crash costs all clients the seconds
+	// that the group needs to resume.
+	quarantineThreshold = 2
+	// maxCrashedReplicas bounds CrashedReplicas. The smallest marks are kept, so that all
+	// processes keep the same ones.
+	maxCrashedReplicas = 4
 )
 
 // Entry is what is known of one request.
 type Entry struct {
 	Key Key `cbor:"1,keyasint"`
-	// CrashedReplicas are the marks of the replicas that ended under the request, the least first,
-	// none twice.
+	// CrashedReplicas are the marks of the replica instances that crashed while they
+	// worked on the request, in ascending order without duplicates.
 	CrashedReplicas []catalog.Mark `cbor:"2,keyasint,omitempty"`
-	// Released requests are kept from nobody, whatever Lives: a replica has answered it,
-	// or an operator said so. Once set it stays.
+	// Released exempts the request, whatever CrashedReplicas holds: a replica has answered
+	// it, or an operator released it. Never reset.
 	Released bool `cbor:"3,keyasint,omitempty"`
-	// Suspect requests were at a replica that ended before it had answered anything of them,
-	// and whose end costs all others. Once set it stays.
+	// Suspect is set if a replica crashed before it had answered anything, and its crash
+	// stalls a lock-step group. Never reset.
 	Suspect bool `cbor:"5,keyasint,omitempty"`
-	// AgeMillis is how long ago it was first known, at least, in milliseconds.
+	// AgeMillis is the least time since the request was first recorded, in milliseconds.
 	AgeMillis int64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Quarantined tells whether the request is kept from replicas.
-func (e *Entry) Quarantined() bool { return !e.Released && len(e.CrashedReplicas) >= enough }
+// Quarantined reports whether enough replicas crashed to quarantine the request.
+func (e *Entry) Quarantined() bool {
+	return !e.Released && len(e.CrashedReplicas) >= quarantineThreshold
+}
 
-// merge takes in what another entry of the same key says; false when nothing is new.
+// merge adds what another entry of the same key holds; false if nothing changed.
 func (e *Entry) merge(other *Entry) bool {
-	lives := slices.Concat(e.CrashedReplicas, other.CrashedReplicas)
-	slices.Sort(lives)
-	lives = slices.Compact(lives)
-	lives = lives[:min(len(lives), mostLives)]
+	crashed := slices.Concat(e.CrashedReplicas, other.CrashedReplicas)
+	slices.Sort(crashed)
+	crashed = slices.Compact(crashed)
+	crashed = crashed[:min(len(crashed), maxCrashedReplicas)]
 	released, suspect := e.Released || other.Released, e.Suspect || other.Suspect
-	if released == e.Released && suspect == e.Suspect && slices.Equal(lives, e.CrashedReplicas) {
+	if released == e.Released && suspect == e.Suspect && slices.Equal(crashed, e.CrashedReplicas) {
 		return false
 	}
-	e.CrashedReplicas, e.Released, e.Suspect = lives, released, suspect
+	e.CrashedReplicas, e.Released, e.Suspect = crashed, released, suspect
 	return true
 }
 
-// sum is the entry's part of a table's digest.
-func (e *Entry) sum() uint64 {
+// checksum is the entry's part of the table's digest.
+func (e *Entry) checksum() uint64 {
 	b := append([]byte(nil), e.Key[:]...)
-	for _, life := range e.CrashedReplicas {
-		b = binary.BigEndian.AppendUint32(b, uint32(life))
+	for _, mark := range e.CrashedReplicas {
+		b = binary.BigEndian.AppendUint32(b, uint32(mark))
 	}
 	if e.Released {
 		b = append(b, 1)
@@ -69,25 +72,25 @@
 	return xxhash.Sum64(b)
 }
 
-// item is an entry as a table holds it.
-type item struct {
+// tableEntry is an entry with a table's own bookkeeping.
+type tableEntry struct {
 	Entry
 
-	// since is when the request was first known.
-	since time.Time
-	// waiting are called once the entry blocks.
-	waiting map[*func()]struct{}
+	// firstKnown is when the request was first recorded.
+	firstKnown time.Time
+	// onBlock holds the functions to call once the request is blocked.
+	onBlock map[*func()]struct{}
 }
 
-// keeps tells whether the request is kept from replicas at a time.
-func (i *item) keeps(now time.Time) bool {
-	return i.Quarantined() || i.Suspect && !i.Released && now.Sub(i.since) < suspectFor
+// blocked reports whether the request must not reach replicas.
+func (e *tableEntry) blocked(now time.Time) bool {
+	return e.Quarantined() || e.Suspect && !e.Released && now.Sub(e.firstKnown) < suspectTTL
 }
 
-// over tells whether an entry has stood for long enough.
-func (i *item) over(now time.Time) bool {
-	if i.Quarantined() {
-		return now.Sub(i.since) > keepBlocking
+// expired reports whether the entry may be dropped.
+func (e *tableEntry) expired(now time.Time) bool {
+	if e.Quarantined() {
+		return now.Sub(e.firstKnown) > quarantineTTL
 	}
-	return now.Sub(i.since) > keepOther
+	return now.Sub(e.firstKnown) > entryTTL
 }
--- a/internal/core/quarantine/fuzz_test.go
+++ b/internal/core/quarantine/fuzz_test.go
@@ -8,7 +8,7 @@
 	"graniteknot.org/go/internal/core/quarantine"
 )
 
-// FuzzDecode reads any bytes as entries that another gateway tells, and as a record of the store.
+// FuzzDecode decodes any bytes as another gateway's entries and as a record of the store.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte{0x80})
 	f.Add([]byte("{}"))
--- a/internal/core/quarantine/key.go
+++ b/internal/core/quarantine/key.go
@@ -8,19 +8,19 @@
 	graniteknot "graniteknot.org/go"
 )
 
-// keySize is the length of a key in bytes: no two requests of a deployment's life have
-// the same by chance, and nobody can make one that has another account's.
-const keySize = 16
+// keyBytes is long enough that accidental collisions do not occur over the lifetime of a
+// deployment, and that nobody can construct the key of another account's request.
+const keyBytes = 16
 
-// Key is a digest of what makes two requests the same: path, account and body.
-type Key [keySize]byte
+// Key identifies a request by its content: a digest of path, account and body.
+type Key [keyBytes]byte
 
-// KeyOf returns the key of a request.
+// KeyOf returns a request's key.
 func KeyOf(path string, account graniteknot.Account, body []byte) Key {
 	var length [binary.MaxVarintLen64]byte
 	hash := sha256.New()
 	for _, part := range [][]byte{[]byte(path), []byte(account), body} {
-		// The length before each part keeps the parts apart. Writes to a hash do not fail.
+		// The length prefix separates the parts. Writes to a hash do not fail.
 		_, _ = hash.Write(length[:binary.PutUvarint(length[:], uint64(len(part)))])
 		_, _ = hash.Write(part)
 	}
@@ -29,5 +29,5 @@
 	return out
 }
 
-// String returns the key as it stands in logs and records.
+// String returns the hexadecimal form used in logs and records.
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
--- a/internal/core/quarantine/key_test.go
+++ b/internal/core/quarantine/key_test.go
@@ -7,9 +7,9 @@
 	"graniteknot.org/go/internal/core/quarantine"
 )
 
-// TestKeysTellRequestsApart by path, account and body, wherever one ends and the next
-// begins.
-func TestKeysTellRequestsApart(t *testing.T) {
+// TestKeysAreDistinct checks that keys differ by path, account and body, also where the
+// concatenations are equal.
+func TestKeysAreDistinct(t *testing.T) {
 	type request struct {
 		path    string
 		account graniteknot.Account
--- a/internal/core/quarantine/recent.go
+++ b/internal/core/quarantine/recent.go
@@ -3,31 +3,32 @@
 import "time"
 
 const (
-	// mostRecent bounds the keys of one of the two generations: 100 KB each.
-	mostRecent = 4096
-	// recentFor is for how long a generation takes keys, if it is not full before.
-	recentFor = 10 * time.Minute
+	// maxGenerationKeys bounds each of the two generations of keys; that is 100 KB each.
+	maxGenerationKeys = 4096
+	// generationPeriod is how long a generation takes keys, unless it fills up before.
+	generationPeriod = 10 * time.Minute
 )
 
-// recent holds the keys of requests that were answered of late: at least the last mostRecent, or
-// those of the last ten minutes. A request that many callers send is under way at most
-// replicas, so that it is among those at any that ends; that it was answered before shows
-// that it does not end each that begins it. The zero value is empty.
-type recent struct {
-	now, before map[Key]struct{}
-	// begun is when the present generation began.
-	begun time.Time
+// recentKeys holds the keys of recently answered requests: at least the last
+// maxGenerationKeys, or those of the last ten minutes. A request that many clients send
+// is in progress at most replicas, hence also at any replica that crashes; an earlier
+// response shows that it does not crash every replica that starts it. The zero value is
+// empty.
+type recentKeys struct {
+	current, previous map[Key]struct{}
+	// started is when the current generation began.
+	started time.Time
 }
 
-func (r *recent) add(k Key, at time.Time) {
-	if r.now == nil || len(r.now) >= mostRecent || at.Sub(r.begun) > recentFor {
-		r.now, r.before, r.begun = map[Key]struct{}{}, r.now, at
+func (r *recentKeys) add(k Key, at time.Time) {
+	if r.current == nil || len(r.current) >= maxGenerationKeys || at.Sub(r.started) > generationPeriod {
+		r.current, r.previous, r.started = map[Key]struct{}{}, r.current, at
 	}
-	r.now[k] = struct{}{}
+	r.current[k] = struct{}{}
 }
 
-func (r *recent) has(k Key) bool {
-	_, now := r.now[k]
-	_, before := r.before[k]
-	return now || before
+func (r *recentKeys) contains(k Key) bool {
+	_, inCurrent := r.current[k]
+	_, inPrevious := r.previous[k]
+	return inCurrent || inPrevious
 }
--- a/internal/core/quarantine/table.go
+++ b/internal/core/quarantine/table.go
@@ -10,157 +10,157 @@
 )
 
 const (
-	// keepBlocking is for how long a request is kept from replicas: longer than a fault
-	// in the replicas' software takes to be found and mended.
-	keepBlocking = 24 * time.Hour
-	// keepOther is for how long it is known that one replica ended under a request, or
-	// that it was released.
-	keepOther = 10 * time.Minute
-	// suspectFor is for how long a request is kept from replicas under which one ended that
-	// had answered nothing of it yet. A request that ends whoever begins it is among the
-	// few that had just begun, and comes again soon; the second end, which would tell it from
-	// the others, costs all callers of a lock-step group its stand. Of the others none had been
-	// answered anything, and their group stands for as long as their callers wait.
-	suspectFor = time.Minute
-	// mostEntries bounds a table: 100 KB.
-	mostEntries = 1024
-	// atOnce is the time within which at most mostAtOnce ends are taken for a request's
-	// doing. A loss of power ends hundreds of replicas, each under a dozen requests.
-	atOnce     = time.Second
-	mostAtOnce = 3
+	// quarantineTTL is how long a request stays quarantined: longer than it takes to find
+	// and fix a fault in the replicas' software.
+	quarantineTTL = 24 * time.Hour
+	// entryTTL is how long all other entries are kept: a single crash, or a release.
+	entryTTL = 10 * time.Minute
+	// suspectTTL is how long a suspect is blocked. A request that crashes every replica that
+	// starts it is among the few that had just started, and is soon retried; the second
+	// crash, which would tell it from the others, stalls the lock-step group for all of its
+	// clients. Blocking the others as well costs little: they had received nothing yet, and
+	// their group is stalled for as long as their clients wait.
+	suspectTTL = time.Minute
+	// maxEntries bounds a table to 100 KB.
+	maxEntries = 1024
+	// burstWindow is the time within which at most maxBurstCrashes crashes are attributed to
+	// requests. A power failure ends hundreds of replicas, each with a dozen requests.
+	burstWindow     = time.Second
+	maxBurstCrashes = 3
 )
 
-// Table knows the requests under which replicas ended. The zero value is empty.
+// Table holds the requests that replicas crashed on. The zero value is empty.
 type Table struct {
-	// OnChange is told of each entry that this process's own requests changed. Set before
-	// use; nil for nobody.
+	// OnChange, if not nil, is called with each entry that this process's own requests
+	// changed. Set it before use.
 	OnChange func(Entry)
 
-	mu    sync.Mutex
-	items map[Key]*item
-	// digest is the sum of all entries.
+	mu      sync.Mutex
+	entries map[Key]*tableEntry
+	// digest combines the checksums of all entries.
 	digest uint64
-	// answered are the requests that this process saw answered.
-	answered recent
-	// ends are the lives that ended of late.
-	ends []end
-	// count is the number of items, read on each request's way.
-	count atomic.Int32
+	// answered holds the requests that replicas recently answered to this process.
+	answered recentKeys
+	// recentCrashes are those of the last burstWindow.
+	recentCrashes []crash
+	// entryCount is len(entries); each request reads it without the lock.
+	entryCount atomic.Int32
 }
 
-// end is the end of a replica's life.
-type end struct {
-	life catalog.Mark
-	at   time.Time
+// crash is the crash of one replica instance.
+type crash struct {
+	replica catalog.Mark
+	at      time.Time
 }
 
-// Empty tells whether nothing is known of any request.
-func (t *Table) Empty() bool { return t.count.Load() == 0 }
+// Empty reports whether the table has no entries.
+func (t *Table) Empty() bool { return t.entryCount.Load() == 0 }
 
-// Blocked tells whether a request is kept from replicas now: for long, or as a suspect.
+// Blocked reports whether a request must not reach replicas now, quarantined or suspect.
 func (t *Table) Blocked(k Key, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	i := t.items[k]
-	return i != nil && i.keeps(now)
+	entry := t.entries[k]
+	return entry != nil && entry.blocked(now)
 }
 
-// Quarantined tells whether a request is kept from replicas for long, under which enough ended.
+// Quarantined reports whether enough replicas crashed to quarantine a request.
 func (t *Table) Quarantined(k Key) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	i := t.items[k]
-	return i != nil && i.Quarantined()
+	entry := t.entries[k]
+	return entry != nil && entry.Quarantined()
 }
 
-// RecordCrash notes that a replica ended while it worked on a request. It returns false where
-// so many end at once that the requests are not the cause.
-func (t *Table) RecordCrash(k Key, life catalog.Mark, now time.Time) bool {
-	return t.end(Entry{Key: k, CrashedReplicas: []catalog.Mark{life}}, now)
+// RecordCrash records that a replica crashed while it worked on a request. It returns false
+// if so many replicas crash at once that requests are not the cause.
+func (t *Table) RecordCrash(k Key, replica catalog.Mark, now time.Time) bool {
+	return t.recordCrash(Entry{Key: k, CrashedReplicas: []catalog.Mark{replica}}, now)
 }
 
-// RecordCrashBeforeResponse notes the same of a replica that had answered nothing of the request, and
-// whose end costs others much: the request is a suspect.
-func (t *Table) RecordCrashBeforeResponse(k Key, life catalog.Mark, now time.Time) bool {
-	return t.end(Entry{Key: k, CrashedReplicas: []catalog.Mark{life}, Suspect: true}, now)
+// RecordCrashBeforeResponse does the same for a replica of a lock-step group that had sent
+// no part of the response; the request becomes a suspect.
+func (t *Table) RecordCrashBeforeResponse(k Key, replica catalog.Mark, now time.Time) bool {
+	return t.recordCrash(Entry{Key: k, CrashedReplicas: []catalog.Mark{replica}, Suspect: true}, now)
 }
 
-func (t *Table) end(e Entry, now time.Time) bool {
-	if !t.single(e.CrashedReplicas[0], now) {
+func (t *Table) recordCrash(e Entry, now time.Time) bool {
+	if !t.isIsolatedCrash(e.CrashedReplicas[0], now) {
 		return false
 	}
-	e.Released = t.seenAnswered(e.Key)
-	t.own(e, now)
+	e.Released = t.recentlyAnswered(e.Key)
+	t.applyLocal(e, now)
 	return true
 }
 
-// seenAnswered tells whether the request was answered of late.
-func (t *Table) seenAnswered(k Key) bool {
+// recentlyAnswered reports whether this process recently saw the request answered.
+func (t *Table) recentlyAnswered(k Key) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.answered.has(k)
+	return t.answered.contains(k)
 }
 
-// RecordResponse notes that a replica answered a request: it does not end each that begins it.
+// RecordResponse records that a replica answered a request, which releases it: the request
+// does not crash every replica that starts it.
 func (t *Table) RecordResponse(k Key, now time.Time) {
 	t.mu.Lock()
 	t.answered.add(k, now)
-	known := t.items[k] != nil
+	known := t.entries[k] != nil
 	t.mu.Unlock()
 	if known {
-		t.own(Entry{Key: k, Released: true}, now)
+		t.applyLocal(Entry{Key: k, Released: true}, now)
 	}
 }
 
-// single tells whether few replicas end at a time.
-func (t *Table) single(life catalog.Mark, now time.Time) bool {
+// isIsolatedCrash reports whether few replicas crashed within burstWindow.
+func (t *Table) isIsolatedCrash(replica catalog.Mark, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.ends = slices.DeleteFunc(t.ends, func(e end) bool { return now.Sub(e.at) > atOnce })
-	if slices.ContainsFunc(t.ends, func(e end) bool { return e.life == life }) {
+	t.recentCrashes = slices.DeleteFunc(t.recentCrashes, func(c crash) bool { return now.Sub(c.at) > burstWindow })
+	if slices.ContainsFunc(t.recentCrashes, func(c crash) bool { return c.replica == replica }) {
 		return true
 	}
-	if len(t.ends) >= mostAtOnce {
+	if len(t.recentCrashes) >= maxBurstCrashes {
 		return false
 	}
-	t.ends = append(t.ends, end{life, now})
+	t.recentCrashes = append(t.recentCrashes, crash{replica, now})
 	return true
 }
 
-// own takes in what this process found out, and tells it.
-func (t *Table) own(e Entry, now time.Time) {
+// applyLocal merges what this process observed, and reports a change to OnChange.
+func (t *Table) applyLocal(e Entry, now time.Time) {
 	if !t.Merge(&e, now) || t.OnChange == nil {
 		return
 	}
-	if whole, known := t.Entry(e.Key, now); known {
-		t.OnChange(whole)
+	if entry, known := t.Entry(e.Key, now); known {
+		t.OnChange(entry)
 	}
 }
 
-// Merge takes in what is known elsewhere; false when nothing is new.
+// Merge adds what another process or the store knows; false if nothing changed.
 func (t *Table) Merge(e *Entry, now time.Time) bool {
-	since := now.Add(-time.Duration(e.AgeMillis) * time.Millisecond)
-	fresh := item{Entry: Entry{Key: e.Key}, since: since}
+	firstKnown := now.Add(-time.Duration(e.AgeMillis) * time.Millisecond)
+	fresh := tableEntry{Entry: Entry{Key: e.Key}, firstKnown: firstKnown}
 	fresh.merge(e)
-	if fresh.over(now) || len(e.CrashedReplicas) == 0 && !e.Released {
+	if fresh.expired(now) || len(e.CrashedReplicas) == 0 && !e.Released {
 		return false
 	}
 	t.mu.Lock()
-	i := t.items[e.Key]
-	if i == nil {
-		i = t.add(&fresh, now)
+	entry := t.entries[e.Key]
+	if entry == nil {
+		entry = t.add(&fresh, now)
 		t.mu.Unlock()
-		return i != nil
+		return entry != nil
 	}
-	if since.Before(i.since) {
-		i.since = since
+	if firstKnown.Before(entry.firstKnown) {
+		entry.firstKnown = firstKnown
 	}
-	before := i.sum()
-	changed := i.merge(e)
-	t.digest ^= before ^ i.sum()
+	before := entry.checksum()
+	changed := entry.merge(e)
+	t.digest ^= before ^ entry.checksum()
 	var wake []*func()
-	if changed && i.keeps(now) {
-		for w := range i.waiting {
+	if changed && entry.blocked(now) {
+		for w := range entry.onBlock {
 			wake = append(wake, w)
 		}
 	}
@@ -171,30 +171,31 @@
 	return changed
 }
 
-// add takes in an item that is new; nil where there is no room. Called with the lock held.
-func (t *Table) add(fresh *item, now time.Time) *item {
-	if len(t.items) >= mostEntries {
+// add inserts a new entry; nil if there is no room. The caller holds the lock.
+func (t *Table) add(fresh *tableEntry, now time.Time) *tableEntry {
+	if len(t.entries) >= maxEntries {
 		t.expire(now)
 	}
-	if len(t.items) >= mostEntries && !t.evict(fresh) {
+	if len(t.entries) >= maxEntries && !t.evict(fresh) {
 		return nil
 	}
-	if t.items == nil {
-		t.items = map[Key]*item{}
+	if t.entries == nil {
+		t.entries = map[Key]*tableEntry{}
 	}
-	t.items[fresh.Key] = fresh
-	t.digest ^= fresh.sum()
-	t.count.Store(int32(len(t.items)))
+	t.entries[fresh.Key] = fresh
+	t.digest ^= fresh.checksum()
+	t.entryCount.Store(int32(len(t.entries)))
 	return fresh
 }
 
-// evict makes room for an item: the oldest goes of those that block nothing, and else the
-// oldest of all, but none that blocks for one that does not. Called with the lock held.
-func (t *Table) evict(fresh *item) bool {
-	var oldest *item
-	for _, i := range t.items {
-		if oldest == nil || oldest.Quarantined() && !i.Quarantined() || oldest.Quarantined() == i.Quarantined() && i.since.Before(oldest.since) {
-			oldest = i
+// evict makes room for an entry by removing the oldest one that is not quarantined, or else
+// the oldest of all; it never removes a quarantined entry for one that is not. The caller
+// holds the lock.
+func (t *Table) evict(fresh *tableEntry) bool {
+	var oldest *tableEntry
+	for _, entry := range t.entries {
+		if oldest == nil || oldest.Quarantined() && !entry.Quarantined() || oldest.Quarantined() == entry.Quarantined() && entry.firstKnown.Before(oldest.firstKnown) {
+			oldest = entry
 		}
 	}
 	if oldest.Quarantined() && !fresh.Quarantined() {
@@ -204,14 +205,13 @@
 	return true
 }
 
-func (t *Table) remove(i *item) {
-	delete(t.items, i.Key)
-	t.digest ^= i.sum()
-	t.count.Store(int32(len(t.items)))
+func (t *Table) remove(entry *tableEntry) {
+	delete(t.entries, entry.Key)
+	t.digest ^= entry.checksum()
+	t.entryCount.Store(int32(len(t.entries)))
 }
 
-// Expire forgets the entries that have stood for long enough, and returns the keys of
-// those that blocked.
+// Expire removes expired entries and returns the keys of those that were quarantined.
 func (t *Table) Expire(now time.Time) []Key {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -220,63 +220,63 @@
 
 func (t *Table) expire(now time.Time) []Key {
 	var out []Key
-	for k, i := range t.items {
-		if !i.over(now) {
+	for k, entry := range t.entries {
+		if !entry.expired(now) {
 			continue
 		}
-		if i.Quarantined() {
+		if entry.Quarantined() {
 			out = append(out, k)
 		}
-		t.remove(i)
+		t.remove(entry)
 	}
 	return out
 }
 
-// Digest is a sum of all entries, the same for all who know the same.
+// Digest returns a digest of all entries; tables with the same entries have the same one.
 func (t *Table) Digest() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.digest
 }
 
-// Entries returns all entries, in the order of their keys.
+// Entries returns all entries, sorted by key.
 func (t *Table) Entries(now time.Time) []Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make([]Entry, 0, len(t.items))
-	for _, i := range t.items {
-		out = append(out, i.told(now))
+	out := make([]Entry, 0, len(t.entries))
+	for _, entry := range t.entries {
+		out = append(out, entry.snapshot(now))
 	}
 	slices.SortFunc(out, func(a, b Entry) int { return slices.Compare(a.Key[:], b.Key[:]) })
 	return out
 }
 
-// QuarantinedCount counts the requests that are kept from replicas.
+// QuarantinedCount returns the number of quarantined requests.
 func (t *Table) QuarantinedCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
-	for _, i := range t.items {
-		if i.Quarantined() {
+	for _, entry := range t.entries {
+		if entry.Quarantined() {
 			n++
 		}
 	}
 	return n
 }
 
-// Entry returns what is known of a request; false when nothing is.
+// Entry returns the entry of a request, if there is one.
 func (t *Table) Entry(k Key, now time.Time) (Entry, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if i := t.items[k]; i != nil {
-		return i.told(now), true
+	if entry := t.entries[k]; entry != nil {
+		return entry.snapshot(now), true
 	}
 	return Entry{}, false
 }
 
-// told is the entry as it is told to others.
-func (i *item) told(now time.Time) Entry {
-	e := i.Entry
-	e.AgeMillis = now.Sub(i.since).Milliseconds()
-	return e
+// snapshot returns a copy with its current age, for other processes.
+func (e *tableEntry) snapshot(now time.Time) Entry {
+	out := e.Entry
+	out.AgeMillis = now.Sub(e.firstKnown).Milliseconds()
+	return out
 }
--- a/internal/core/quarantine/wait.go
+++ b/internal/core/quarantine/wait.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// CancelOnBlock returns a context that also ends once a request is kept from replicas; it costs
-// nothing while nothing is known of the request. Call the function when done.
+// CancelOnBlock returns a context that is also canceled once a request is blocked. A
+// request without an entry gets ctx itself. Call the returned function when done.
 func (t *Table) CancelOnBlock(ctx context.Context, k Key, now time.Time) (context.Context, func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	i := t.items[k]
-	if i == nil {
+	entry := t.entries[k]
+	if entry == nil {
 		return ctx, func() {}
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	if i.keeps(now) {
+	if entry.blocked(now) {
 		cancel()
 	}
 	wake := func() { cancel() }
-	if i.waiting == nil {
-		i.waiting = map[*func()]struct{}{}
+	if entry.onBlock == nil {
+		entry.onBlock = map[*func()]struct{}{}
 	}
-	i.waiting[&wake] = struct{}{}
+	entry.onBlock[&wake] = struct{}{}
 	return ctx, func() {
 		t.mu.Lock()
-		delete(i.waiting, &wake)
+		delete(entry.onBlock, &wake)
 		t.mu.Unlock()
 		cancel()
 	}
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -88,12 +88,12 @@
 		Package: "internal/core/gateway", Test: "TestReplicasAcrossADrill",
 	},
 	{
-		Name: "suspects are not kept", File: "internal/core/quarantine/entry.go",
-		Old: "i.Quarantined() || i.Suspect && !i.Released && now.Sub(i.since) < suspectFor", New: "i.Quarantined() || now.Sub(i.since) < 0",
+		Name: "suspects are not blocked", File: "internal/core/quarantine/entry.go",
+		Old: "e.Quarantined() || e.Suspect && !e.Released && now.Sub(e.firstKnown) < suspectTTL", New: "e.Quarantined() || now.Sub(e.firstKnown) < 0",
 		Package: "internal/core/forward", Test: "TestOneEndInALockStepGroup",
 	},
 	{
-		Name: "answers before an end are forgotten", File: "internal/core/quarantine/table.go",
+		Name: "responses before a crash are forgotten", File: "internal/core/quarantine/table.go",
 		Old: "\tt.answered.add(k, now)\n", New: "",
 		Package: "internal/core/forward", Test: "TestCommonRequestIsNotBlamed",
 	},
