--- a/internal/core/forward/attempt.go
+++ b/internal/core/forward/attempt.go
@@ -14,137 +14,139 @@
 )
 
 const (
-	// maxBody bounds a whole answer that is kept to be passed on at once; a
-	// larger one is refused as spoiled.
-	maxBody = 16 << 20
-	// endless is the time that a replica has when nothing bounds a request.
-	endless = 10 * time.Minute
+	// maxResponseBody bounds a response that is buffered; a larger one counts as lost.
+	maxResponseBody = 16 << 20
+	// defaultReplicaTimeout applies to requests without a deadline or route timeout.
+	defaultReplicaTimeout = 10 * time.Minute
 )
 
-// attempt sends the request to one replica and passes its answer on.
-func (r *run) attempt(l *fleet.Lease) (step, fleet.Verdict, Reason) {
+// attempt sends the request to one replica and forwards its response.
+func (r *inflightRequest) attempt(l *fleet.Lease) (step, fleet.Verdict, Reason) {
 	f := r.f
-	conn, err := f.Pool.Get(r.ctx, l.Replica.Address, f.ConnLimit(r.job.Service))
+	conn, err := f.Pool.Get(r.ctx, l.Replica.Address, f.ConnLimit(r.request.Service))
 	if err != nil {
-		return r.unsent(err)
+		return r.connectFailed(err)
 	}
-	if why, ok := r.maySend(); !ok {
+	if reason, ok := r.maySend(); !ok {
 		f.Pool.Put(l.Replica.Address, conn)
-		r.giveUp(why)
-		return stepDone, fleet.VerdictNone, why
+		r.giveUp(reason)
+		return stepDone, fleet.VerdictNone, reason
 	}
 	if !l.Allowed(f.Clock.Now()) {
 		f.Pool.Put(l.Replica.Address, conn)
 		r.withheld = true
-		return stepAgain, fleet.VerdictNone, ReasonReplicaBackoff
+		return stepRetry, fleet.VerdictNone, ReasonReplicaBackoff
 	}
 	stop := context.AfterFunc(r.ctx, conn.Abort)
-	r.move = &mover{conn: conn}
-	if r.movable() {
-		l.OnSilence(r.moveIfAllowed)
+	r.aborter = &attemptAborter{conn: conn}
+	if r.canRetryElsewhere() {
+		l.OnSilence(r.abortIfRetryAvailable)
 	}
-	whole := false
+	reusable := false
 	defer func() {
-		moved := r.move.end()
-		if stop() && whole && !moved {
+		aborted := r.aborter.finish()
+		if stop() && reusable && !aborted {
 			f.Pool.Put(l.Replica.Address, conn)
 			return
 		}
 		f.Pool.Drop(l.Replica.Address, conn)
 	}()
-	answer, err := conn.Do(&conns.Call{ //nolint:bodyclose // The connection's end or reuse closes it.
-		Method: r.job.Method, Head: f.Codec.Head(r.outgoing(l)), Body: r.job.Body, Mine: r.mine,
+	resp, err := conn.Do(&conns.Call{ //nolint:bodyclose // Reusing or closing the connection closes it.
+		Method: r.request.Method, Head: f.Codec.Head(r.newAttempt(l)), Body: r.request.Body, Mine: r.isOwnResponse,
 	})
 	if err != nil {
-		return r.failed(err)
+		return r.responseFailed(err)
 	}
-	r.heed(l, answer)
-	if r.job.Route.Kind != catalog.KindStream || answer.StatusCode != http.StatusOK {
-		next, verdict, why, ok := r.whole(l, answer)
-		whole = ok
-		return next, verdict, why
+	r.applySignals(l, resp)
+	if r.request.Route.Kind != catalog.KindStream || resp.StatusCode != http.StatusOK {
+		next, verdict, reason, ok := r.readResponse(l, resp)
+		reusable = ok
+		return next, verdict, reason
 	}
-	next, verdict, why, ok := r.stream(l, answer)
-	whole = ok
-	return next, verdict, why
+	next, verdict, reason, ok := r.streamResponse(l, resp)
+	reusable = ok
+	return next, verdict, reason
 }
 
-func (r *run) outgoing(l *fleet.Lease) *Attempt {
-	left := endless
-	if !r.job.RespondBy.IsZero() {
-		left = max(r.f.Clock.Until(r.job.RespondBy), time.Millisecond)
+func (r *inflightRequest) newAttempt(l *fleet.Lease) *Attempt {
+	timeout := defaultReplicaTimeout
+	if !r.request.RespondBy.IsZero() {
+		timeout = max(r.f.Clock.Until(r.request.RespondBy), time.Millisecond)
 	}
-	return &Attempt{RoutedRequest: r.job, Replica: &l.Replica, Timeout: left, LastEventID: r.after}
+	return &Attempt{RoutedRequest: r.request, Replica: &l.Replica, Timeout: timeout, LastEventID: r.lastEventID}
 }
 
-func (r *run) mine(h http.Header) bool { return r.f.Codec.Marks(0, h).RequestID == r.job.ID }
+func (r *inflightRequest) isOwnResponse(h http.Header) bool {
+	return r.f.Codec.Marks(0, h).RequestID == r.request.ID
+}
 
-// unsent acts on a connection that could not be had.
-func (r *run) unsent(err error) (step, fleet.Verdict, Reason) {
+// connectFailed handles an attempt that got no connection.
+func (r *inflightRequest) connectFailed(err error) (step, fleet.Verdict, Reason) {
 	if r.ctx.Err() != nil {
-		r.giveUp(r.stopReason())
+		r.giveUp(r.cancelReason())
 		return stepDone, fleet.VerdictNone, r.result.Reason
 	}
 	var e *conns.Error
 	if errors.As(err, &e) && e.Kind == conns.KindFull {
-		return stepAgain, fleet.VerdictFull, ReasonBusy
+		return stepRetry, fleet.VerdictFull, ReasonBusy
 	}
-	return stepAgain, fleet.VerdictBad, ReasonUnreachable
+	return stepRetry, fleet.VerdictBad, ReasonUnreachable
 }
 
-// failed acts on a request that was sent, or partly, and has no answer.
-func (r *run) failed(err error) (step, fleet.Verdict, Reason) {
+// responseFailed handles a request that was sent at least in part and got no complete
+// response.
+func (r *inflightRequest) responseFailed(err error) (step, fleet.Verdict, Reason) {
 	var e *conns.Error
 	if errors.As(err, &e) && e.Kind == conns.KindUnsent {
-		return stepAgain, fleet.VerdictBad, ReasonUnreachable
+		return stepRetry, fleet.VerdictBad, ReasonUnreachable
 	}
 	r.mayHaveRun = true
 	if r.ctx.Err() != nil {
-		r.giveUp(r.stopReason())
+		r.giveUp(r.cancelReason())
 		return stepDone, fleet.VerdictNone, r.result.Reason
 	}
-	if r.move.end() {
-		return stepAgain, fleet.VerdictNone, ReasonReplicaSilent
+	if r.aborter.finish() {
+		return stepRetry, fleet.VerdictNone, ReasonReplicaSilent
 	}
-	r.broke = true
+	r.connBroken = true
 	if e != nil && e.Kind == conns.KindSpoiled {
-		return stepAgain, fleet.VerdictBad, ReasonInvalidResponse
+		return stepRetry, fleet.VerdictBad, ReasonInvalidResponse
 	}
-	return stepAgain, fleet.VerdictBad, ReasonResponseLost
+	return stepRetry, fleet.VerdictBad, ReasonResponseLost
 }
 
-// whole takes an answer that is passed on only when all of it is there.
-func (r *run) whole(l *fleet.Lease, answer *http.Response) (next step, v fleet.Verdict, why Reason, reuse bool) {
-	marks := r.f.Codec.Marks(answer.StatusCode, answer.Header)
-	if marks.NotRun {
-		_, err := io.Copy(io.Discard, io.LimitReader(answer.Body, maxBody))
-		return stepAgain, refusal(&marks), ReasonRefused, err == nil
+// readResponse buffers a response and forwards it once it is complete.
+func (r *inflightRequest) readResponse(l *fleet.Lease, resp *http.Response) (next step, v fleet.Verdict, reason Reason, reuse bool) {
+	metadata := r.f.Codec.Marks(resp.StatusCode, resp.Header)
+	if metadata.NotRun {
+		_, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBody))
+		return stepRetry, refusalVerdict(&metadata), ReasonRefused, err == nil
 	}
 	r.mayHaveRun = true
 	l.Heard(r.f.Clock.Now())
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBody+1))
-	if err != nil || len(body) > maxBody {
-		next, v, why = r.failed(&conns.Error{Op: "read answer", Kind: conns.KindLost, Err: err})
-		return next, v, why, false
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBody+1))
+	if err != nil || len(body) > maxResponseBody {
+		next, v, reason = r.responseFailed(&conns.Error{Op: "read answer", Kind: conns.KindLost, Err: err})
+		return next, v, reason, false
 	}
-	if !marks.Sealed || promised(answer.StatusCode) {
-		return stepAgain, fleet.VerdictBad, ReasonInvalidResponse, true
+	if !metadata.Sealed || impliesNotRun(resp.StatusCode) {
+		return stepRetry, fleet.VerdictBad, ReasonInvalidResponse, true
 	}
-	a := &reply{status: answer.StatusCode, header: answer.Header, body: body}
-	if answer.StatusCode >= http.StatusInternalServerError && r.job.Route.Repeats() {
-		r.spare = a
-		return stepAgain, fleet.VerdictBad, ReasonResponseLost, true
+	complete := &response{status: resp.StatusCode, header: resp.Header, body: body}
+	if resp.StatusCode >= http.StatusInternalServerError && r.request.Route.Repeats() {
+		r.fallback = complete
+		return stepRetry, fleet.VerdictBad, ReasonResponseLost, true
 	}
-	r.give(a)
+	r.writeResponse(complete)
 	verdict := fleet.VerdictGood
-	if answer.StatusCode >= http.StatusInternalServerError {
+	if resp.StatusCode >= http.StatusInternalServerError {
 		verdict = fleet.VerdictBad
 	}
 	return stepDone, verdict, r.result.Reason, true
 }
 
-// promised tells whether callers take a status for proof that nothing ran.
-func promised(status int) bool {
+// impliesNotRun reports whether clients take a status as proof that the request did not run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -152,15 +154,15 @@
 	return false
 }
 
-func refusal(m *ResponseMetadata) fleet.Verdict {
+func refusalVerdict(m *ResponseMetadata) fleet.Verdict {
 	if m.WrongReplica {
 		return fleet.VerdictGone
 	}
 	return fleet.VerdictFull
 }
 
-// finish settles a request whose whole answer was passed on.
-func (r *run) finish(status int) {
+// setAnswered sets the result of a request whose response was forwarded completely.
+func (r *inflightRequest) setAnswered(status int) {
 	r.result.Outcome = graniteknot.OutcomeAnswered
 	r.result.Reason = ReasonNone
 	r.result.Status = status
--- a/internal/core/forward/budgets.go
+++ b/internal/core/forward/budgets.go
@@ -7,41 +7,41 @@
 	"graniteknot.org/go/internal/core/retry"
 )
 
-// RetryBudgets holds this process's part of each service's retry budget. The zero
-// value allows no retries; set Percent and Burst.
+// RetryBudgets holds this process's retry budget for each service. The zero value
+// allows no retries; set Percent and Burst.
 type RetryBudgets struct {
-	// Percent is how many retries a hundred first attempts allow.
+	// Percent is how many retries are allowed per 100 first attempts.
 	Percent func() int64
-	// Burst is how many retries may be saved up.
+	// Burst is the capacity of each budget in retries.
 	Burst func() float64
 
-	mu       sync.Mutex
-	services map[graniteknot.Service]*retry.Budget
+	mu      sync.Mutex
+	budgets map[graniteknot.Service]*retry.Budget
 }
 
-// RecordFirstAttempt notes a first attempt.
-func (b *RetryBudgets) RecordFirstAttempt(s graniteknot.Service) { b.of(s).RecordFirstAttempt() }
+// RecordFirstAttempt adds the share of a retry that one first attempt earns.
+func (b *RetryBudgets) RecordFirstAttempt(s graniteknot.Service) { b.budget(s).RecordFirstAttempt() }
 
-// Available tells whether a retry would be allowed now.
-func (b *RetryBudgets) Available(s graniteknot.Service) bool { return b.of(s).Available() }
+// Available reports whether a retry would be allowed now.
+func (b *RetryBudgets) Available(s graniteknot.Service) bool { return b.budget(s).Available() }
 
-// Withdraw asks for one retry.
-func (b *RetryBudgets) Withdraw(s graniteknot.Service) bool { return b.of(s).Withdraw() }
+// Withdraw takes one retry from the budget; false if there is none.
+func (b *RetryBudgets) Withdraw(s graniteknot.Service) bool { return b.budget(s).Withdraw() }
 
-func (b *RetryBudgets) of(s graniteknot.Service) *retry.Budget {
+func (b *RetryBudgets) budget(s graniteknot.Service) *retry.Budget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.services == nil {
-		b.services = map[graniteknot.Service]*retry.Budget{}
+	if b.budgets == nil {
+		b.budgets = map[graniteknot.Service]*retry.Budget{}
 	}
-	found := b.services[s]
+	found := b.budgets[s]
 	if found == nil {
 		burst := b.Burst
 		if burst == nil {
 			burst = func() float64 { return 0 }
 		}
 		found = &retry.Budget{Percent: b.Percent, Burst: burst}
-		b.services[s] = found
+		b.budgets[s] = found
 	}
 	return found
 }
--- /dev/null
+++ b/internal/core/forward/crash.go
@@ -0,0 +1,129 @@
+package forward
+
+import (
+	"context"
+	"log/slog"
+	"sync"
+	"time"
+
+	graniteknot "graniteknot.org/go"
+	"graniteknot.org/go/catalog"
+	"graniteknot.org/go/internal/core/fleet"
+	"graniteknot.org/go/internal/core/meter"
+	"graniteknot.org/go/internal/core/quarantine"
+	"graniteknot.org/go/internal/group"
+)
+
+const (
+	// probeReuse is how long the result of a probe is reused: all requests at a replica lose
+	// their responses at once when it crashes, and a restart takes much longer.
+	probeReuse = 200 * time.Millisecond
+	// probeTimeout bounds a probe, probeWait how long a request waits for it before the next
+	// attempt: a connection is refused within one round trip.
+	probeTimeout = 700 * time.Millisecond
+	probeWait    = 60 * time.Millisecond
+	// maxProbes is the number of stored probes at which outdated ones are removed.
+	maxProbes = 64
+)
+
+// crashDetector finds out whether replicas whose responses were lost have crashed. Responses
+// are also lost when a connection breaks or a lock-step group stalls, for which the request
+// is not to blame; that nothing listens at the address any more proves a crash. The zero
+// value is ready to use.
+type crashDetector struct {
+	mu         sync.Mutex
+	probes     map[graniteknot.Address]*crashProbe
+	background group.Group
+}
+
+// crashProbe is one check of an address.
+type crashProbe struct {
+	started time.Time
+	// done is closed once crashed is set.
+	done    chan struct{}
+	crashed bool
+}
+
+// startProbe starts a probe of an address, or returns one that has just started.
+func (d *crashDetector) startProbe(a graniteknot.Address, crashed func(context.Context) bool) *crashProbe {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := time.Now()
+	if probe := d.probes[a]; probe != nil && now.Sub(probe.started) < probeReuse {
+		return probe
+	}
+	if d.probes == nil || len(d.probes) >= maxProbes {
+		d.prune(now)
+	}
+	probe := &crashProbe{started: now, done: make(chan struct{})}
+	d.probes[a] = probe
+	d.background.Go(func(ctx context.Context) {
+		ctx, cancel := context.WithTimeout(ctx, probeTimeout)
+		defer cancel()
+		defer close(probe.done)
+		probe.crashed = crashed(ctx)
+	})
+	return probe
+}
+
+// prune removes outdated probes. The caller holds the lock.
+func (d *crashDetector) prune(now time.Time) {
+	kept := map[graniteknot.Address]*crashProbe{}
+	for a, probe := range d.probes {
+		if now.Sub(probe.started) < probeReuse {
+			kept[a] = probe
+		}
+	}
+	d.probes = kept
+}
+
+// checkCrash handles a lost response: if its replica has crashed, the crash is recorded for
+// the request. The request waits for that for at most probeWait.
+func (r *inflightRequest) checkCrash(l *fleet.Lease) {
+	key, f := r.quarantineKey(), r.f
+	probe := f.crashes.startProbe(l.Replica.Address, func(ctx context.Context) bool {
+		return f.Pool.Ended(ctx, l.Replica.Address, f.ConnLimit(r.request.Service))
+	})
+	recorded := make(chan struct{})
+	replica := l.Replica
+	// A lock-step group stalls for as long as one of its ranks is missing.
+	suspect := replica.Group != "" && !l.Begun()
+	f.crashes.background.Go(func(context.Context) {
+		defer close(recorded)
+		<-probe.done
+		if probe.crashed {
+			f.recordCrash(r.request, key, &replica, suspect)
+		}
+	})
+	timer := time.NewTimer(probeWait)
+	defer timer.Stop()
+	select {
+	case <-recorded:
+	case <-timer.C:
+	case <-r.ctx.Done():
+	}
+}
+
+// recordCrash records and logs that a replica crashed while it worked on a request.
+func (f *Forwarder) recordCrash(request *RoutedRequest, key quarantine.Key, replica *catalog.Replica, suspect bool) {
+	f.Meter.Count("graniteknot_answers_lost_with_replica_total", meter.Label{Name: "service", Value: string(replica.Service)})
+	fields := []slog.Attr{
+		slog.String("request", string(request.ID)), slog.String("identity", key.String()), slog.String("replica", replica.Life().String()),
+		slog.String("address", string(replica.Address)), slog.String("path", request.Path),
+	}
+	if request.Account != nil {
+		fields = append(fields, slog.String("account", string(request.Account.Name)))
+	}
+	if q := f.Quarantine; q != nil {
+		now, record := f.Clock.Now(), q.RecordCrash
+		if suspect {
+			record = q.RecordCrashBeforeResponse
+		}
+		counted := record(key, replica.Life().Mark(), now)
+		fields = append(fields, slog.Bool("counted", counted), slog.Bool("suspect", suspect), slog.Bool("kept_from_replicas", q.Blocked(key, now)))
+	}
+	f.Log.Warn("replica ended", fields...)
+}
+
+// Stop ends the background probes and waits for them.
+func (f *Forwarder) Stop() { f.crashes.background.Stop() }
--- a/internal/core/forward/doc.go
+++ b/internal/core/forward/doc.go
@@ -1,9 +1,8 @@
-// Package forward takes one caller's request to replicas that need no agent
-// before them: it chooses a replica, names it in the request, sends it, and
-// passes the answer on. It is the only layer that tries again here, and a
-// request that may not run twice is tried again only after proof that it did not
-// run.
+// Package forward sends a client's request to replicas that are reached without an
+// agent in between: it acquires a replica, sends the request with the replica's name,
+// and forwards the response. It is the only layer on this path that retries. A request
+// that must not run twice is retried only after proof that it did not run.
 //
-// HTTP towards callers is left to package edge, the words of requests and
-// answers to a Dialect, the choice of replicas to package fleet.
+// Package gateway serves HTTP to clients, a Codec translates requests and responses,
+// and package fleet chooses replicas.
 package forward
--- /dev/null
+++ b/internal/core/forward/eventsplitter.go
@@ -0,0 +1,53 @@
+package forward
+
+import (
+	"bytes"
+)
+
+// eventSplitter splits a text/event-stream into complete events. The zero value is
+// ready to use.
+type eventSplitter struct {
+	// partial is the start of an incomplete event.
+	partial []byte
+	// lastID is the ID of the last complete event that has one.
+	lastID EventID
+}
+
+var (
+	lfBoundary   = []byte("\n\n")
+	crlfBoundary = []byte("\r\n\r\n")
+	idField      = []byte("id:")
+)
+
+// feed adds bytes and returns the events that are complete now.
+func (s *eventSplitter) feed(b []byte) []byte {
+	s.partial = append(s.partial, b...)
+	end := max(endOfLast(s.partial, lfBoundary), endOfLast(s.partial, crlfBoundary))
+	if end == 0 {
+		return nil
+	}
+	complete := s.partial[:end:end]
+	s.partial = append([]byte(nil), s.partial[end:]...)
+	s.recordLastID(complete)
+	return complete
+}
+
+// endOfLast returns the index after the last separator, 0 if there is none.
+func endOfLast(b, separator []byte) int {
+	if i := bytes.LastIndex(b, separator); i >= 0 {
+		return i + len(separator)
+	}
+	return 0
+}
+
+// recordLastID keeps the last ID of complete events.
+func (s *eventSplitter) recordLastID(complete []byte) {
+	for line := range bytes.Lines(complete) {
+		if value, ok := bytes.CutPrefix(line, idField); ok {
+			s.lastID = EventID(bytes.TrimSpace(value))
+		}
+	}
+}
+
+// atBoundary reports whether no event is incomplete.
+func (s *eventSplitter) atBoundary() bool { return len(bytes.TrimSpace(s.partial)) == 0 }
--- a/internal/core/forward/forwarder.go
+++ b/internal/core/forward/forwarder.go
@@ -15,7 +15,7 @@
 	"graniteknot.org/go/internal/core/quarantine"
 )
 
-// Forwarder takes requests to replicas. Set the exported fields.
+// Forwarder sends requests to replicas. Set the exported fields.
 type Forwarder struct {
 	Codec        Codec
 	Pool         *conns.Pool
@@ -24,257 +24,259 @@
 	Log          *eventlog.Log
 	Meter        *meter.Meter
 	Zone         graniteknot.AvailabilityZone
-	// Clock is what ages and deadlines are decided by.
+	// Clock decides ages and deadlines.
 	Clock graniteknot.AgeClock
-	// ConfigFresh tells whether the configuration is new enough to trust a key.
+	// ConfigFresh reports whether the configuration is recent enough to trust an API key.
 	ConfigFresh func() bool
-	// RetryDetector knows which callers come back.
+	// RetryDetector detects requests that their client has sent before.
 	RetryDetector RetryDetector
-	// ConnLimit bounds this process's connections to one replica of a service.
+	// ConnLimit is the greatest number of connections from this process to one replica of a
+	// service.
 	ConnLimit func(*catalog.Service) int
-	// Quarantine knows which requests are kept from replicas; nil for none.
+	// Quarantine holds the requests that must not reach replicas; nil disables it.
 	Quarantine *quarantine.Table
 
-	endings endings
-	// ends are when the requests under way have to be answered.
-	ends ends
+	crashes crashDetector
+	// deadlines holds the deadlines of the requests in progress.
+	deadlines deadlineSet
 }
 
 const (
-	// aimMargin is taken from the aim for the way between caller and replica.
-	aimMargin = 25 * time.Millisecond
-	// patienceAims is how many aims a request waits for room. Callers leave a
-	// stream that gives nothing for four aims.
-	patienceAims = 3
-	// leastPatience is the least wait, for routes without an aim.
-	leastPatience = 500 * time.Millisecond
+	// targetMargin is the part of the latency target reserved for the network path between
+	// client and replica.
+	targetMargin = 25 * time.Millisecond
+	// queueWaitTargets is how many latency targets a request may wait for capacity.
+	// Clients abandon a stream that delivers nothing for four latency targets.
+	queueWaitTargets = 3
+	// minQueueWait is the shortest limit, for routes without a latency target.
+	minQueueWait = 500 * time.Millisecond
 )
 
-var errTimeout = errors.New("the request's time is over")
+var errTimeout = errors.New("the request's deadline has passed")
 
-// Do takes a job to its one result.
-func (f *Forwarder) Do(caller context.Context, j *RoutedRequest, sink Sink) Result {
-	ctx, cancel := context.WithCancelCause(caller)
+// Do forwards a request, writes the response to sink and returns how the request ended.
+func (f *Forwarder) Do(parent context.Context, request *RoutedRequest, sink Sink) Result {
+	ctx, cancel := context.WithCancelCause(parent)
 	defer cancel(nil)
-	if !j.RespondBy.IsZero() {
-		defer f.ends.begin(j.RespondBy, f.Clock.Until(j.RespondBy), func() { cancel(errTimeout) })()
+	if !request.RespondBy.IsZero() {
+		defer f.deadlines.add(request.RespondBy, f.Clock.Until(request.RespondBy), func() { cancel(errTimeout) })()
 	}
-	r := &run{f: f, job: j, sink: sink, ctx: ctx, after: j.LastEventID}
-	r.result.SinceFirstTry = f.RetryDetector.SinceFirstTry(j.Route, j.Request)
-	r.take()
-	r.answered()
+	r := &inflightRequest{f: f, request: request, sink: sink, ctx: ctx, lastEventID: request.LastEventID}
+	r.result.SinceFirstTry = f.RetryDetector.SinceFirstTry(request.Route, request.Request)
+	r.runAttempts()
+	r.recordAnswered()
 	return r.result
 }
 
-// run is one request on its way.
-type run struct {
-	f    *Forwarder
-	job  *RoutedRequest
-	sink Sink
-	ctx  context.Context //nolint:containedctx // It is the request's own life.
+// inflightRequest is the state of one call of Do.
+type inflightRequest struct {
+	f       *Forwarder
+	request *RoutedRequest
+	sink    Sink
+	ctx     context.Context //nolint:containedctx // It spans exactly the request.
 
 	tried []catalog.Life
-	// mayHaveRun tells that no replica's word covers some attempt.
+	// mayHaveRun is set once an attempt may have run: its replica did not state otherwise.
 	mayHaveRun bool
-	// after is the last event that the caller has.
-	after EventID
-	// move breaks the present attempt off; nil before the first.
-	move *mover
-	// lastPart is when the last part was passed on; zero before the first.
-	lastPart time.Time
-	// spare is a replica's own failure, given when nothing better comes.
-	spare  *reply
-	result Result
-	// broke tells that the last attempt's connection broke under the request.
-	broke bool
-	// withheld tells that nothing was sent, since the replica asked for that while the
-	// request waited for a connection.
+	// lastEventID is the last event that the client has.
+	lastEventID EventID
+	// aborter aborts the current attempt; nil before the first.
+	aborter *attemptAborter
+	// lastEventAt is when events were last sent to the client; zero before the first.
+	lastEventAt time.Time
+	// fallback is a replica's own error response, returned if no other attempt succeeds.
+	fallback *response
+	result   Result
+	// connBroken is set if the last attempt's connection broke during the request.
+	connBroken bool
+	// withheld is set if nothing was sent, since the replica started to back off, leave or
+	// limit its rate while the request waited for a connection.
 	withheld bool
-	// said is what the last attempt's answer said of its replica.
-	said ResponseMetadata
-	// identity is the request's key once it was needed.
-	identity *quarantine.Key
+	// metadata is that of the last attempt's response.
+	metadata ResponseMetadata
+	// cachedKey is the request's quarantine key, computed on first use.
+	cachedKey *quarantine.Key
 }
 
-// reply is a whole answer of a replica.
-type reply struct {
+// response is a complete response of a replica.
+type response struct {
 	status int
 	header map[string][]string
 	body   []byte
 }
 
-// step says what follows an attempt.
+// step is what follows an attempt.
 type step uint8
 
 const (
 	// stepDone ends the request; the result is set.
 	stepDone step = iota
-	// stepAgain tries another replica, if the request may.
-	stepAgain
+	// stepRetry makes another attempt if one is allowed.
+	stepRetry
 )
 
-// take makes attempts until one settles the request.
-func (r *run) take() {
+// runAttempts makes attempts until the request has a result.
+func (r *inflightRequest) runAttempts() {
 	f := r.f
-	f.RetryBudgets.RecordFirstAttempt(r.job.Service.Name)
+	f.RetryBudgets.RecordFirstAttempt(r.request.Service.Name)
 	for {
-		if why, ok := r.mayTry(); !ok {
-			r.giveUp(why)
+		if reason, ok := r.mayAttempt(); !ok {
+			r.giveUp(reason)
 			return
 		}
 		lease := r.acquire()
 		if lease == nil {
-			r.giveUp(r.noLease())
+			r.giveUp(r.noLeaseReason())
 			return
 		}
-		if why, ok := r.maySend(); !ok {
+		if reason, ok := r.maySend(); !ok {
 			lease.End(fleet.VerdictNone, f.Clock.Now())
-			r.giveUp(why)
+			r.giveUp(reason)
 			return
 		}
 		r.result.Attempts++
-		r.broke, r.withheld, r.said = false, false, ResponseMetadata{}
+		r.connBroken, r.withheld, r.metadata = false, false, ResponseMetadata{}
 		r.result.Replica = lease.Replica.Life().String()
-		next, verdict, why := r.attempt(lease)
+		next, verdict, reason := r.attempt(lease)
 		lease.End(verdict, f.Clock.Now())
-		if r.broke {
-			r.lost(lease)
+		if r.connBroken {
+			r.checkCrash(lease)
 		}
 		if r.withheld {
 			r.result.Attempts--
 			continue
 		}
-		r.logAttempt(lease, verdict, why)
+		r.logAttempt(lease, verdict, reason)
 		if next == stepDone {
 			return
 		}
 		r.tried = append(r.tried, lease.Replica.Life())
-		r.result.Reason = why
+		r.result.Reason = reason
 	}
 }
 
-func (r *run) query() *fleet.Query {
+func (r *inflightRequest) query() *fleet.Query {
 	now := r.f.Clock.Now()
 	return &fleet.Query{
-		Service: r.job.Service, Size: r.job.Size, Urgency: r.job.Urgency(), Gap: r.job.Route.GapAim,
+		Service: r.request.Service, Size: r.request.Size, Urgency: r.request.Urgency(), Gap: r.request.Route.GapAim,
 		Tried: r.tried, Zone: r.f.Zone, Now: now, Asked: now,
 	}
 }
 
-// waiting bounds the wait for room. A caller that comes back counts the aim from its
-// first try. A stream that is broken in the middle waits as one that has just come: its
-// caller counts the pause.
-func (r *run) waiting() fleet.Waiting {
-	from, first := r.job.ReceivedAt, r.job.ReceivedAt.Add(-r.result.SinceFirstTry)
+// waitBounds limits the wait for capacity. For a request that its client retries, the
+// latency target counts from the first try. A stream that broke waits as if it had just
+// arrived, since its client measures the pause.
+func (r *inflightRequest) waitBounds() fleet.Waiting {
+	from, first := r.request.ReceivedAt, r.request.ReceivedAt.Add(-r.result.SinceFirstTry)
 	if r.result.ResponseStarted {
-		from, first = r.lastPart, r.lastPart
+		from, first = r.lastEventAt, r.lastEventAt
 	}
 	return fleet.Waiting{
-		Aim:  first.Add(r.job.Route.Aim - aimMargin),
-		Last: from.Add(max(time.Duration(patienceAims*float64(r.job.Route.Aim)), leastPatience)),
+		Aim:  first.Add(r.request.Route.Aim - targetMargin),
+		Last: from.Add(max(time.Duration(queueWaitTargets*float64(r.request.Route.Aim)), minQueueWait)),
 	}
 }
 
-// noLease says why there was no replica.
-func (r *run) noLease() Reason {
+// noLeaseReason returns why no replica could be acquired.
+func (r *inflightRequest) noLeaseReason() Reason {
 	if r.ctx.Err() != nil {
-		return r.stopReason()
+		return r.cancelReason()
 	}
-	if r.quarantined() {
+	if r.blocked() {
 		return ReasonQuarantined
 	}
 	if r.f.Fleet.Rested(r.query()) > 0 {
-		if r.f.Fleet.Scarce(r.job.Service.Name, r.f.Clock.Now()) {
+		if r.f.Fleet.Scarce(r.request.Service.Name, r.f.Clock.Now()) {
 			return ReasonRateLimited
 		}
 		return ReasonReplicaBackoff
 	}
-	if all, _ := r.f.Fleet.Count(r.job.Service.Name, r.f.Clock.Now()); all == 0 {
+	if all, _ := r.f.Fleet.Count(r.request.Service.Name, r.f.Clock.Now()); all == 0 {
 		return ReasonNoReplica
 	}
 	return ReasonBusy
 }
 
-// maySend tells whether the request may be sent to a replica now, and if not, why. It is
-// asked after each wait, since all of it may have changed meanwhile.
-func (r *run) maySend() (Reason, bool) {
+// maySend reports whether the request may be sent to a replica now, and if not, why. It is
+// checked again after each wait, since each condition may have changed meanwhile.
+func (r *inflightRequest) maySend() (Reason, bool) {
 	switch {
 	case r.ctx.Err() != nil:
-		return r.stopReason(), false
-	case r.over():
+		return r.cancelReason(), false
+	case r.timedOut():
 		return ReasonTimeout, false
-	case r.job.Account != nil && !r.f.ConfigFresh():
+	case r.request.Account != nil && !r.f.ConfigFresh():
 		return ReasonStaleConfig, false
-	case r.quarantined():
+	case r.blocked():
 		return ReasonQuarantined, false
 	}
 	return ReasonNone, true
 }
 
-// mayTry tells whether another attempt may be made, and if not, why.
-func (r *run) mayTry() (Reason, bool) {
-	if why, ok := r.maySend(); !ok {
-		return why, false
+// mayAttempt reports whether another attempt may be made, and if not, why.
+func (r *inflightRequest) mayAttempt() (Reason, bool) {
+	if reason, ok := r.maySend(); !ok {
+		return reason, false
 	}
 	if r.result.Attempts == 0 || r.withheld {
 		return ReasonNone, true
 	}
-	if r.result.Attempts >= r.job.Route.Attempts {
+	if r.result.Attempts >= r.request.Route.Attempts {
 		return r.result.Reason, false
 	}
-	if r.mayHaveRun && !r.job.Route.Repeats() {
+	if r.mayHaveRun && !r.request.Route.Repeats() {
 		return r.result.Reason, false
 	}
-	if !r.f.RetryBudgets.Withdraw(r.job.Service.Name) {
+	if !r.f.RetryBudgets.Withdraw(r.request.Service.Name) {
 		return ReasonRetryBudget, false
 	}
 	return ReasonNone, true
 }
 
-// over tells whether the request's time is over, also where the timer for that stood still.
-func (r *run) over() bool {
-	return !r.job.RespondBy.IsZero() && !r.f.Clock.Exact().Before(r.job.RespondBy)
+// timedOut reports whether the deadline has passed, also if its timer stood still while the
+// box was suspended.
+func (r *inflightRequest) timedOut() bool {
+	return !r.request.RespondBy.IsZero() && !r.f.Clock.Exact().Before(r.request.RespondBy)
 }
 
-// stopReason says why the request's context ended.
-func (r *run) stopReason() Reason {
+// cancelReason returns why the request's context was canceled.
+func (r *inflightRequest) cancelReason() Reason {
 	if errors.Is(context.Cause(r.ctx), errTimeout) {
 		return ReasonTimeout
 	}
 	return ReasonClientGone
 }
 
-// first notes the first byte of the answer.
-func (r *run) first() {
+// recordFirstByte records the time to the first byte of the response.
+func (r *inflightRequest) recordFirstByte() {
 	if r.result.FirstByte == 0 {
-		r.result.FirstByte = r.f.Clock.Since(r.job.ReceivedAt)
+		r.result.FirstByte = r.f.Clock.Since(r.request.ReceivedAt)
 	}
 }
 
-// logAttempt writes the line of one attempt: what it was decided on, and how it
-// ended.
-func (r *run) logAttempt(l *fleet.Lease, v fleet.Verdict, why Reason) {
+// logAttempt logs one attempt: what its replica was chosen by, and how it ended.
+func (r *inflightRequest) logAttempt(l *fleet.Lease, v fleet.Verdict, reason Reason) {
 	r.f.Meter.Count("graniteknot_attempts_total",
 		meter.Label{Name: "service", Value: string(l.Replica.Service)}, meter.Label{Name: "verdict", Value: v.String()},
-		meter.Label{Name: "reason", Value: string(why)})
+		meter.Label{Name: "reason", Value: string(reason)})
 	in := l.Inputs
 	fields := []slog.Attr{
-		slog.String("request", string(r.job.ID)), slog.Int("attempt", r.result.Attempts),
+		slog.String("request", string(r.request.ID)), slog.Int("attempt", r.result.Attempts),
 		slog.String("replica", l.Replica.Life().String()), slog.String("address", string(l.Replica.Address)),
-		slog.String("verdict", v.String()), eventlog.Milliseconds("since_arrival", r.f.Clock.Since(r.job.ReceivedAt)),
+		slog.String("verdict", v.String()), eventlog.Milliseconds("since_arrival", r.f.Clock.Since(r.request.ReceivedAt)),
 		slog.Int("own", in.Own), slog.Int("others", in.Others), slog.Int("room", in.Room), slog.Float64("skew", in.Skew), slog.Bool("trial", in.Trial),
 		eventlog.Milliseconds("pass", in.Pass), eventlog.Milliseconds("report_age", in.ReportAge), eventlog.Milliseconds("waited", in.Waited),
 	}
 	if in.Permit {
 		fields = append(fields, slog.Bool("permit", true))
 	}
-	fields = append(fields, said(&r.said)...)
-	if why == ReasonNone {
+	fields = append(fields, signalAttrs(&r.metadata)...)
+	if reason == ReasonNone {
 		r.f.Log.Info("attempt", fields...)
 		return
 	}
-	if r.identity != nil {
-		fields = append(fields, slog.String("identity", r.identity.String()))
+	if r.cachedKey != nil {
+		fields = append(fields, slog.String("identity", r.cachedKey.String()))
 	}
-	r.f.Log.Warn("attempt", append(fields, slog.String("reason", string(why)))...)
+	r.f.Log.Warn("attempt", append(fields, slog.String("reason", string(reason)))...)
 }
--- a/internal/core/forward/giveup.go
+++ b/internal/core/forward/giveup.go
@@ -6,43 +6,43 @@
 	graniteknot "graniteknot.org/go"
 )
 
-// giveUp settles a request that gets no answer of its own.
-func (r *run) giveUp(why Reason) {
-	if r.spare != nil && !r.result.ResponseStarted && why != ReasonClientGone {
-		r.give(r.spare)
+// giveUp sets the result of a request that gets no response, except for a fallback.
+func (r *inflightRequest) giveUp(reason Reason) {
+	if r.fallback != nil && !r.result.ResponseStarted && reason != ReasonClientGone {
+		r.writeResponse(r.fallback)
 		return
 	}
-	r.result.Reason = why
+	r.result.Reason = reason
 	r.result.Outcome = graniteknot.OutcomeUnknown
 	if !r.mayHaveRun {
 		r.result.Outcome = graniteknot.OutcomeNotRun
-		r.result.RetryAfter = r.again(why)
+		r.result.RetryAfter = r.retryAfter(reason)
 	}
 }
 
-// again is in how long the caller of a request that did not run may come back: as soon as a
-// replica will have rested that takes requests, where all rest, and those who wait will have
-// been served. What one replica asked for says nothing of the others, which may have room.
-func (r *run) again(why Reason) time.Duration {
+// retryAfter is when the client of a request that did not run may retry: if all replicas back
+// off, once the first one accepts requests again, and if they are busy, not before the queued
+// requests are served. One replica's backoff does not count, as the others may have capacity.
+func (r *inflightRequest) retryAfter(reason Reason) time.Duration {
 	q := r.query()
-	if why == ReasonRateLimited {
+	if reason == ReasonRateLimited {
 		return r.f.Fleet.Place(q)
 	}
 	rested := r.f.Fleet.Rested(q)
-	if why == ReasonBusy {
+	if reason == ReasonBusy {
 		return max(rested, r.f.Fleet.Drained(q))
 	}
 	return rested
 }
 
-// give passes a whole answer on.
-func (r *run) give(a *reply) {
-	r.first()
-	r.result.Status = a.status
+// writeResponse forwards a complete response.
+func (r *inflightRequest) writeResponse(resp *response) {
+	r.recordFirstByte()
+	r.result.Status = resp.status
 	r.result.Reason = ReasonNone
 	r.result.Outcome = graniteknot.OutcomeAnswered
 	r.result.ResponseStarted = true
-	if err := r.sink.WriteResponse(a.status, a.header, a.body); err != nil {
+	if err := r.sink.WriteResponse(resp.status, resp.header, resp.body); err != nil {
 		r.result.Outcome = graniteknot.OutcomeUnknown
 		r.result.Reason = ReasonClientGone
 	}
--- a/internal/core/forward/request.go
+++ b/internal/core/forward/request.go
@@ -8,46 +8,46 @@
 	"graniteknot.org/go/catalog"
 )
 
-// Request is a caller's request.
+// Request is a client's request.
 type Request struct {
-	// ID is the caller's, and is passed on as it is.
+	// ID is set by the client and forwarded unchanged.
 	ID graniteknot.RequestID
-	// Method, RequestURI and Host are the request line's and are passed on as they
-	// are; Path is the target without its query.
+	// Method, RequestURI and Host are forwarded unchanged; Path is RequestURI without
+	// the query.
 	Method, RequestURI, Host, Path string
-	// Header is what is passed on as it is.
+	// Header holds the fields that are forwarded unchanged.
 	Header http.Header
 	Body   []byte
-	// APIKey proves the account; empty when the caller gave none.
+	// APIKey authenticates the account; empty if the client sent none.
 	APIKey catalog.Secret
-	// ReceivedAt is when the head was read; Deadline is zero when there is none.
+	// ReceivedAt is when the head was read; Deadline is zero if the client set none.
 	ReceivedAt, Deadline time.Time
-	// LastEventID is the last event that the caller has; empty for none.
+	// LastEventID is the last event that the client has received; empty for none.
 	LastEventID EventID
-	// Size is zero when the caller tells none.
+	// Size is zero if the client sent none.
 	Size catalog.Size
-	// LengthHint is the caller's guess of the answer's length; 0 for none.
+	// LengthHint is the client's estimate of the response's length; 0 for none.
 	LengthHint graniteknot.Tokens
 }
 
-// EventID names an event of a stream, in the words of the replica.
+// EventID identifies an event of a stream; replicas define its format.
 type EventID string
 
-// RoutedRequest is a request with what the configuration says of it.
+// RoutedRequest is a request with its route, account and service.
 type RoutedRequest struct {
 	*Request
 	Route   *catalog.Route
 	Account *catalog.Account
 	Service *catalog.Service
-	// RespondBy is when the request has to be answered: its deadline or the route's
-	// timeout; zero when neither bounds it.
+	// RespondBy is the earlier of the client's deadline and the end of the route's
+	// timeout; zero if there is neither.
 	RespondBy time.Time
 }
 
-// Urgency is the account's, or else the route's.
-func (j *RoutedRequest) Urgency() catalog.Urgency {
-	if j.Account != nil && j.Account.HasUrgency {
-		return j.Account.Urgency
+// Urgency returns the account's urgency, or else the route's.
+func (r *RoutedRequest) Urgency() catalog.Urgency {
+	if r.Account != nil && r.Account.HasUrgency {
+		return r.Account.Urgency
 	}
-	return j.Route.Urgency
+	return r.Route.Urgency
 }
--- a/internal/core/forward/result.go
+++ b/internal/core/forward/result.go
@@ -6,39 +6,39 @@
 	graniteknot "graniteknot.org/go"
 )
 
-// Reason says why a request has no answer.
+// Reason is why a request or an attempt got no response.
 type Reason string
 
-// The reasons.
+// Reasons of requests and attempts.
 const (
 	ReasonNone Reason = ""
-	// ReasonStaleConfig is a configuration that is too old to trust a key.
+	// ReasonStaleConfig: the configuration is too old to trust an API key.
 	ReasonStaleConfig Reason = "stale-configuration"
-	// ReasonNoReplica is a service without a usable replica.
+	// ReasonNoReplica: the service has no usable replica.
 	ReasonNoReplica Reason = "no-replica"
-	// ReasonBusy is a service whose replicas have no room in time.
+	// ReasonBusy: no replica of the service had capacity in time.
 	ReasonBusy Reason = "busy"
-	// ReasonRefused is a replica's word that it did not run the request.
+	// ReasonRefused: the replica states that it did not run the request.
 	ReasonRefused Reason = "refused-by-replica"
-	// ReasonUnreachable are replicas that could not be connected to.
+	// ReasonUnreachable: no connection to the replica could be opened.
 	ReasonUnreachable Reason = "unreached"
-	// ReasonResponseLost is an answer that did not come, or not whole.
+	// ReasonResponseLost: the response is missing or incomplete.
 	ReasonResponseLost Reason = "answer-lost"
-	// ReasonInvalidResponse is an answer that can't be trusted.
+	// ReasonInvalidResponse: the response cannot be trusted.
 	ReasonInvalidResponse Reason = "answer-spoiled"
-	// ReasonTimeout is the end of the request's time.
+	// ReasonTimeout: the request's deadline or the route's timeout has passed.
 	ReasonTimeout Reason = "timeout"
-	// ReasonClientGone is a caller that left.
+	// ReasonClientGone: the client disconnected.
 	ReasonClientGone Reason = "caller-gone"
-	// ReasonReplicaSilent is a replica that was cut off, whose request was moved.
+	// ReasonReplicaSilent: the replica was cut off, so the attempt was aborted for a retry.
 	ReasonReplicaSilent Reason = "replica-silent"
-	// ReasonQuarantined is a request that ends the replicas that run it.
+	// ReasonQuarantined: the request crashes the replicas that run it, or is suspected to.
 	ReasonQuarantined Reason = "ends-replicas"
-	// ReasonReplicaBackoff are replicas that all asked this process for rest.
+	// ReasonReplicaBackoff: all replicas asked this process to back off.
 	ReasonReplicaBackoff Reason = "replicas-rest"
-	// ReasonRateLimited are replicas that all named a limit, of which this process has no part now.
+	// ReasonRateLimited: all replicas have a rate limit, and this process has no permit left.
 	ReasonRateLimited Reason = "replicas-limited"
-	// ReasonRetryBudget is an empty retry budget.
+	// ReasonRetryBudget: the retry budget is empty.
 	ReasonRetryBudget Reason = "retry-budget"
 )
 
@@ -46,25 +46,24 @@
 type Result struct {
 	Outcome graniteknot.Outcome
 	Reason  Reason
-	// ResponseStarted tells that a part of the answer was passed on.
+	// ResponseStarted reports that a part of the response was sent to the client.
 	ResponseStarted bool
-	// RetryAfter is when to come back, for requests that did not run.
+	// RetryAfter is when the client may retry a request that did not run.
 	RetryAfter time.Duration
-	// Status is the answer's, 0 without one.
+	// Status is the response's; 0 without one.
 	Status   int
 	Attempts int
-	// FirstByte is the time from arrival to the first byte of the answer.
+	// FirstByte is the time from arrival to the first byte of the response.
 	FirstByte time.Duration
-	// MaxPause is the longest time between two parts of a stream.
+	// MaxPause is the longest time between two writes of a stream.
 	MaxPause time.Duration
-	// MaxPauseAt is when the longest one ended, from arrival on.
+	// MaxPauseAt is when that pause ended, counted from arrival.
 	MaxPauseAt time.Duration
-	// SinceFirstTry is how long before this try at least its caller first tried; 0 where this may
-	// be the first.
+	// SinceFirstTry is the least time since the client first sent the request; 0 if this may
+	// be the first try.
 	SinceFirstTry time.Duration
-	// Identity is the same for all requests that are the same but for their ids; empty
-	// where it was not needed.
+	// Identity is the request's quarantine key; empty if it was not needed.
 	Identity string
-	// Replica is the last one asked.
+	// Replica is the one of the last attempt.
 	Replica string
 }
--- /dev/null
+++ b/internal/core/forward/signals.go
@@ -0,0 +1,65 @@
+package forward
+
+import (
+	"log/slog"
+	"net/http"
+
+	"graniteknot.org/go/internal/core/eventlog"
+	"graniteknot.org/go/internal/core/fleet"
+	"graniteknot.org/go/internal/core/meter"
+)
+
+// applySignals applies what a response's headers say of its replica: backoff, planned shutdown
+// and rate limit. It does so before the body is read and whatever the status, since they
+// concern all requests to the replica.
+func (r *inflightRequest) applySignals(l *fleet.Lease, resp *http.Response) {
+	r.metadata = r.f.Codec.Marks(resp.StatusCode, resp.Header)
+	if r.metadata.WrongReplica {
+		// The response is from another replica.
+		return
+	}
+	answered := r.metadata.Sealed && !r.metadata.NotRun
+	signals := fleet.Word{
+		Rest: r.metadata.RetryAfter, Leaving: r.metadata.Leaving, Limit: r.metadata.RateLimit,
+		Answered: answered, Unlimited: answered && !r.metadata.RateLimit.Named && !r.metadata.RateLimit.Odd,
+	}
+	if l.Says(signals, r.f.Clock.Now()) {
+		r.f.Log.Info("replica said", append(signalAttrs(&r.metadata), slog.String("replica", l.Replica.Life().String()))...)
+	}
+	if r.metadata.RetryAfter > 0 {
+		r.countSignal(l, "rest")
+	}
+	if r.metadata.Leaving {
+		r.countSignal(l, "leaving")
+	}
+	switch {
+	case r.metadata.RateLimit.Odd:
+		r.countSignal(l, "odd limit")
+	case r.metadata.RateLimit.Named:
+		r.countSignal(l, "limit")
+	}
+}
+
+// countSignal counts a signal of a replica.
+func (r *inflightRequest) countSignal(l *fleet.Lease, signal string) {
+	r.f.Meter.Count("graniteknot_replicas_said_total",
+		meter.Label{Name: "service", Value: string(l.Replica.Service)}, meter.Label{Name: "word", Value: signal})
+}
+
+// signalAttrs returns the log attributes for a replica's signals.
+func signalAttrs(m *ResponseMetadata) []slog.Attr {
+	var out []slog.Attr
+	if m.RetryAfter > 0 {
+		out = append(out, eventlog.Milliseconds("rest_asked", m.RetryAfter))
+	}
+	if m.Leaving {
+		out = append(out, slog.Bool("leaving", true))
+	}
+	if m.RateLimit.Named {
+		out = append(out, slog.Float64("limit", float64(m.RateLimit.Rate)))
+	}
+	if m.RateLimit.Odd {
+		out = append(out, slog.Bool("odd_limit", true))
+	}
+	return out
+}
--- a/internal/core/forward/sink.go
+++ b/internal/core/forward/sink.go
@@ -2,12 +2,12 @@
 
 import "net/http"
 
-// Sink is where an answer goes. An error means that the caller is gone.
+// Sink writes a response to the client. An error means that the client is gone.
 type Sink interface {
-	// WriteResponse passes a whole answer on.
+	// WriteResponse writes a complete response.
 	WriteResponse(status int, h http.Header, body []byte) error
-	// BeginStream passes the head of a stream on.
+	// BeginStream writes the head of a stream.
 	BeginStream(status int, h http.Header) error
-	// WriteEvents passes whole events on at once.
+	// WriteEvents writes complete events and flushes them.
 	WriteEvents(b []byte) error
 }
--- a/internal/core/forward/stream.go
+++ b/internal/core/forward/stream.go
@@ -10,81 +10,81 @@
 	"graniteknot.org/go/internal/core/fleet"
 )
 
-// readSize is how much of a stream is read at once.
-const readSize = 4 << 10
+// streamBufferSize is the size of one read from a stream.
+const streamBufferSize = 4 << 10
 
-// stream passes the events of an answer on as they come.
-func (r *run) stream(l *fleet.Lease, answer *http.Response) (next step, v fleet.Verdict, why Reason, reuse bool) {
-	marks := r.f.Codec.Marks(answer.StatusCode, answer.Header)
+// streamResponse forwards the events of a response as they arrive.
+func (r *inflightRequest) streamResponse(l *fleet.Lease, resp *http.Response) (next step, v fleet.Verdict, reason Reason, reuse bool) {
+	metadata := r.f.Codec.Marks(resp.StatusCode, resp.Header)
 	r.mayHaveRun = true
-	if !marks.Sealed {
-		return stepAgain, fleet.VerdictBad, ReasonInvalidResponse, false
+	if !metadata.Sealed {
+		return stepRetry, fleet.VerdictBad, ReasonInvalidResponse, false
 	}
-	events := splitter{}
-	buffer := make([]byte, readSize)
+	events := eventSplitter{}
+	buffer := make([]byte, streamBufferSize)
 	for {
-		n, err := answer.Body.Read(buffer)
-		if whole := events.add(buffer[:n]); len(whole) > 0 {
+		n, err := resp.Body.Read(buffer)
+		if complete := events.feed(buffer[:n]); len(complete) > 0 {
 			l.Heard(r.f.Clock.Now())
-			if gone := r.pass(answer, whole, events.last); gone {
+			if gone := r.writeEvents(resp, complete, events.lastID); gone {
 				return stepDone, fleet.VerdictNone, ReasonClientGone, false
 			}
 		}
 		if err == nil {
 			continue
 		}
-		if errors.Is(err, io.EOF) && events.empty() {
-			return r.ended(answer)
+		if errors.Is(err, io.EOF) && events.atBoundary() {
+			return r.streamEnded(resp)
 		}
-		next, v, why = r.failed(&conns.Error{Op: "read stream", Kind: conns.KindLost, Err: err})
-		return next, v, why, false
+		next, v, reason = r.responseFailed(&conns.Error{Op: "read stream", Kind: conns.KindLost, Err: err})
+		return next, v, reason, false
 	}
 }
 
-// ended settles a stream that its replica ended.
-func (r *run) ended(answer *http.Response) (step, fleet.Verdict, Reason, bool) {
-	if !r.result.ResponseStarted && !r.begin(answer) {
+// streamEnded sets the result of a stream that its replica completed.
+func (r *inflightRequest) streamEnded(resp *http.Response) (step, fleet.Verdict, Reason, bool) {
+	if !r.result.ResponseStarted && !r.beginStream(resp) {
 		return stepDone, fleet.VerdictNone, ReasonClientGone, false
 	}
-	r.finish(answer.StatusCode)
+	r.setAnswered(resp.StatusCode)
 	return stepDone, fleet.VerdictGood, ReasonNone, true
 }
 
-// pass gives whole events to the caller; true when the caller is gone.
-func (r *run) pass(answer *http.Response, whole []byte, last EventID) (gone bool) {
-	if !r.result.ResponseStarted && !r.begin(answer) {
+// writeEvents sends complete events to the client; true if the client is gone.
+func (r *inflightRequest) writeEvents(resp *http.Response, complete []byte, lastID EventID) (gone bool) {
+	if !r.result.ResponseStarted && !r.beginStream(resp) {
 		return true
 	}
 	now := r.f.Clock.Now()
-	if !r.lastPart.IsZero() {
-		r.paused(now)
+	if !r.lastEventAt.IsZero() {
+		r.recordPause(now)
 	}
-	r.lastPart = now
-	if err := r.sink.WriteEvents(whole); err != nil {
+	r.lastEventAt = now
+	if err := r.sink.WriteEvents(complete); err != nil {
 		r.giveUp(ReasonClientGone)
 		return true
 	}
-	if last != "" {
-		r.after = last
+	if lastID != "" {
+		r.lastEventID = lastID
 	}
 	return false
 }
 
-// paused takes in the time since the last part.
-func (r *run) paused(now time.Time) {
-	if pause := now.Sub(r.lastPart); pause > r.result.MaxPause {
-		r.result.MaxPause, r.result.MaxPauseAt = pause, now.Sub(r.job.ReceivedAt)
+// recordPause records the time since events were last sent.
+func (r *inflightRequest) recordPause(now time.Time) {
+	if pause := now.Sub(r.lastEventAt); pause > r.result.MaxPause {
+		r.result.MaxPause, r.result.MaxPauseAt = pause, now.Sub(r.request.ReceivedAt)
 	}
 }
 
-// begin passes the head of a stream on; false when the caller is gone.
-func (r *run) begin(answer *http.Response) bool {
-	r.first()
-	if err := r.sink.BeginStream(answer.StatusCode, answer.Header); err != nil {
+// beginStream sends the head of a stream; false if the client is gone.
+func (r *inflightRequest) beginStream(resp *http.Response) bool {
+	r.recordFirstByte()
+	if err := r.sink.BeginStream(resp.StatusCode, resp.Header); err != nil {
 		r.giveUp(ReasonClientGone)
 		return false
 	}
 	r.result.ResponseStarted = true
-	r.result.Status = answer.StatusCode
+	r.result.Status = resp.StatusCode
 	return true
 }
