--- a/internal/core/forward/rig_test.go
+++ b/internal/core/forward/fixture_test.go
@@ -18,56 +18,56 @@
 	"graniteknot.org/go/platform/platformtest"
 )
 
-// long is more than any of these tests takes.
-const long = 20 * time.Second
+// testTimeout is longer than any of these tests takes.
+const testTimeout = 20 * time.Second
 
-// sink keeps what a caller gets.
-type sink struct {
-	status int
-	header http.Header
-	body   strings.Builder
-	begun  bool
-	// gone makes every write fail.
-	gone bool
+// recordingSink records what a client receives.
+type recordingSink struct {
+	status        int
+	header        http.Header
+	body          strings.Builder
+	streamStarted bool
+	// disconnected makes WriteResponse and BeginStream fail.
+	disconnected bool
 }
 
-var errGone = errors.New("gone")
+var errDisconnected = errors.New("client disconnected")
 
-func (s *sink) WriteResponse(status int, h http.Header, body []byte) error {
-	if s.gone {
-		return errGone
+func (s *recordingSink) WriteResponse(status int, h http.Header, body []byte) error {
+	if s.disconnected {
+		return errDisconnected
 	}
 	s.status, s.header = status, h
 	s.body.Write(body)
 	return nil
 }
 
-func (s *sink) BeginStream(status int, h http.Header) error {
-	if s.gone {
-		return errGone
+func (s *recordingSink) BeginStream(status int, h http.Header) error {
+	if s.disconnected {
+		return errDisconnected
 	}
-	s.begun, s.status, s.header = true, status, h
+	s.streamStarted, s.status, s.header = true, status, h
 	return nil
 }
 
-func (s *sink) WriteEvents(b []byte) error {
+func (s *recordingSink) WriteEvents(b []byte) error {
 	s.body.Write(b)
 	return nil
 }
 
-// rig is a forwarder before scripted replicas, of which the first is preferred.
-type rig struct {
-	forward  *forward.Forwarder
-	replicas []*platformtest.Replica
-	route    *catalog.Route
-	sink     *sink
-	request  *forward.Request
+// fixture is a forwarder with scripted replicas, of which it prefers the first.
+type fixture struct {
+	forwarder *forward.Forwarder
+	replicas  []*platformtest.Replica
+	route     *catalog.Route
+	sink      *recordingSink
+	request   *forward.Request
 }
 
-func newRig(t *testing.T, kind catalog.RouteKind, scripts ...platformtest.Script) *rig {
+func newFixture(t *testing.T, kind catalog.RouteKind, scripts ...platformtest.Script) *fixture {
 	t.Helper()
-	r := &rig{
-		sink: &sink{},
+	r := &fixture{
+		sink: &recordingSink{},
 		route: &catalog.Route{
 			Name: "r", Kind: kind, Resumable: kind == catalog.KindStream, Attempts: 2, Aim: time.Second,
 			Shares: []catalog.Share{{Service: "s", Weight: 1}},
@@ -81,13 +81,13 @@
 		}
 		t.Cleanup(replica.Close)
 		r.replicas = append(r.replicas, replica)
-		// The zone of the first is the forwarder's own.
+		// The first replica is in the forwarder's own zone.
 		zone := graniteknot.AvailabilityZone(fmt.Sprint("z", i))
 		table.Put(catalog.Replica{ID: catalog.ReplicaID(replica.ID), Service: "s", Address: replica.Address(), Zone: zone}, time.Now())
 	}
 	pool := &conns.Pool{}
 	t.Cleanup(pool.Close)
-	r.forward = &forward.Forwarder{
+	r.forwarder = &forward.Forwarder{
 		Codec: platform.Dialect{}, Pool: pool, Fleet: table, Zone: "z0", ConfigFresh: func() bool { return true },
 		ConnLimit:    func(*catalog.Service) int { return 0 },
 		RetryBudgets: &forward.RetryBudgets{Percent: func() int64 { return 100 }, Burst: func() float64 { return 20 }},
@@ -99,15 +99,15 @@
 	return r
 }
 
-func (r *rig) do(ctx context.Context) forward.Result {
-	job := &forward.RoutedRequest{
+func (r *fixture) do(ctx context.Context) forward.Result {
+	request := &forward.RoutedRequest{
 		Request: r.request, Route: r.route, Service: &catalog.Service{Name: "s"},
-		Account: &catalog.Account{Name: "desk"}, RespondBy: time.Now().Add(long),
+		Account: &catalog.Account{Name: "desk"}, RespondBy: time.Now().Add(testTimeout),
 	}
-	return r.forward.Do(ctx, job, r.sink)
+	return r.forwarder.Do(ctx, request, r.sink)
 }
 
-func (r *rig) ran() int {
+func (r *fixture) runCount() int {
 	n := 0
 	for _, x := range r.replicas {
 		n += len(x.Ran())
--- a/internal/core/forward/suspension_test.go
+++ b/internal/core/forward/suspension_test.go
@@ -15,102 +15,103 @@
 	"graniteknot.org/go/platform/platformtest"
 )
 
-// suspension is for how long a box was suspended: only the clock of ages counts it.
-type suspension struct{ atomic.Int64 }
+// fakeSuspension is the total time of suspensions, which only the age clock counts.
+type fakeSuspension struct{ atomic.Int64 }
 
-func (s *suspension) Suspended() time.Duration { return time.Duration(s.Load()) }
-func (s *suspension) Exact() time.Duration     { return time.Duration(s.Load()) }
+func (s *fakeSuspension) Suspended() time.Duration { return time.Duration(s.Load()) }
+func (s *fakeSuspension) Exact() time.Duration     { return time.Duration(s.Load()) }
 
-// whileWaiting calls a function once a request waits for a place at the rig's replica, of
-// whose group a report says that it does not run, and then opens it.
-func (r *rig) whileWaiting(t *testing.T, service *catalog.Service, then func()) {
+// whenQueued closes the group of the fixture's replica, calls change once a request is queued
+// for it, and then opens the group.
+func (r *fixture) whenQueued(t *testing.T, service *catalog.Service, change func()) {
 	t.Helper()
-	r.forward.Fleet.Report(r.replicas[0].Address(), fleet.Load{Closed: true, Taken: time.Now().Add(time.Hour)})
-	var told group.Group
-	told.Go(func(ctx context.Context) {
-		for r.forward.Fleet.Queued(service) == 0 && ctx.Err() == nil {
+	r.forwarder.Fleet.Report(r.replicas[0].Address(), fleet.Load{Closed: true, Taken: time.Now().Add(time.Hour)})
+	var background group.Group
+	background.Go(func(ctx context.Context) {
+		for r.forwarder.Fleet.Queued(service) == 0 && ctx.Err() == nil {
 			delay.For(ctx, time.Millisecond)
 		}
-		then()
-		r.forward.Fleet.Report(r.replicas[0].Address(), fleet.Load{Taken: time.Now().Add(2 * time.Hour)})
+		change()
+		r.forwarder.Fleet.Report(r.replicas[0].Address(), fleet.Load{Taken: time.Now().Add(2 * time.Hour)})
 	})
-	t.Cleanup(told.Stop)
+	t.Cleanup(background.Stop)
 }
 
-// waitsForPlace is a job for an engine.
-func (r *rig) waitsForPlace() *forward.RoutedRequest {
-	r.route.Aim = long
+// engineRequest returns a request to an engine, which queues while the group is closed.
+func (r *fixture) engineRequest() *forward.RoutedRequest {
+	r.route.Aim = testTimeout
 	return &forward.RoutedRequest{
 		Request: r.request, Route: r.route, Service: &catalog.Service{Name: "s", Engine: &catalog.Engine{Slots: 1, Stride: 1}},
-		Account: &catalog.Account{Name: "desk"}, RespondBy: time.Now().Add(long),
+		Account: &catalog.Account{Name: "desk"}, RespondBy: time.Now().Add(testTimeout),
 	}
 }
 
-// TestWhatWasTrueBeforeAWait is looked at again after it: a key that can't be proved any
-// more and a deadline that passed while the box was suspended reach no replica.
-func TestWhatWasTrueBeforeAWait(t *testing.T) {
+// TestConditionsAreRecheckedAfterQueueWait checks that a request reaches no replica if the
+// configuration became stale, or if the deadline passed while the box was suspended, during the
+// wait for a replica.
+func TestConditionsAreRecheckedAfterQueueWait(t *testing.T) {
 	for name, c := range map[string]struct {
 		suspended time.Duration
 		stale     bool
 		reason    forward.Reason
 	}{
-		"key too old":           {0, true, forward.ReasonStaleConfig},
-		"suspended for 0.5 s":   {500 * time.Millisecond, false, forward.ReasonNone},
-		"suspended for 3 s":     {3 * time.Second, false, forward.ReasonNone},
-		"suspended for 30 s":    {30 * time.Second, false, forward.ReasonTimeout},
-		"both, in that order":   {30 * time.Second, true, forward.ReasonTimeout},
-		"stale and a short one": {500 * time.Millisecond, true, forward.ReasonStaleConfig},
+		"stale":               {0, true, forward.ReasonStaleConfig},
+		"suspended for 0.5 s": {500 * time.Millisecond, false, forward.ReasonNone},
+		"suspended for 3 s":   {3 * time.Second, false, forward.ReasonNone},
+		"suspended for 30 s":  {30 * time.Second, false, forward.ReasonTimeout},
+		"expired and stale":   {30 * time.Second, true, forward.ReasonTimeout},
+		"stale after 0.5 s":   {500 * time.Millisecond, true, forward.ReasonStaleConfig},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, catalog.KindRepeatable, platformtest.Answer("first"))
-			var away suspension
-			clock := graniteknot.AgeClock{Suspension: &away}
-			r.forward.Clock, r.forward.Fleet.Clock = clock, clock
+			r := newFixture(t, catalog.KindRepeatable, platformtest.Answer("first"))
+			var total fakeSuspension
+			clock := graniteknot.AgeClock{Suspension: &total}
+			r.forwarder.Clock, r.forwarder.Fleet.Clock = clock, clock
 			var stale atomic.Bool
-			r.forward.ConfigFresh = func() bool { return !stale.Load() }
-			job := r.waitsForPlace()
-			r.whileWaiting(t, job.Service, func() {
-				away.Add(int64(c.suspended))
+			r.forwarder.ConfigFresh = func() bool { return !stale.Load() }
+			request := r.engineRequest()
+			r.whenQueued(t, request.Service, func() {
+				total.Add(int64(c.suspended))
 				stale.Store(c.stale)
 			})
-			result := r.forward.Do(context.Background(), job, r.sink)
-			if result.Reason != c.reason || (c.reason == forward.ReasonNone) != (r.ran() == 1) {
-				t.Errorf("ran %d times, %+v", r.ran(), result)
+			result := r.forwarder.Do(context.Background(), request, r.sink)
+			if result.Reason != c.reason || (c.reason == forward.ReasonNone) != (r.runCount() == 1) {
+				t.Errorf("ran %d times, unexpected result %+v", r.runCount(), result)
 			}
 			if c.reason != forward.ReasonNone && result.Outcome != graniteknot.OutcomeNotRun {
-				t.Errorf("%+v", result)
+				t.Errorf("unexpected result %+v", result)
 			}
 		})
 	}
 }
 
-// TestRequestsUnderWayEndAfterASuspension cancels at its replica a request whose time was
-// over while the box was suspended, and no other.
-func TestRequestsUnderWayEndAfterASuspension(t *testing.T) {
-	for suspended, ends := range map[time.Duration]bool{500 * time.Millisecond: false, 3 * time.Second: false, 30 * time.Second: true} {
+// TestExpiredRequestsAreCanceledAfterSuspension checks that CancelExpired cancels a request at its
+// replica if its deadline passed while the box was suspended, and no other.
+func TestExpiredRequestsAreCanceledAfterSuspension(t *testing.T) {
+	for suspended, expires := range map[time.Duration]bool{500 * time.Millisecond: false, 3 * time.Second: false, 30 * time.Second: true} {
 		begun, release := make(chan struct{}), make(chan struct{})
-		r := newRig(t, catalog.KindOnce, func(x *platformtest.Exchange) {
+		r := newFixture(t, catalog.KindOnce, func(x *platformtest.Exchange) {
 			close(begun)
 			<-release
 			platformtest.Answer("late")(x)
 		})
-		var away suspension
-		r.forward.Clock = graniteknot.AgeClock{Suspension: &away}
-		var waits group.Group
-		waits.Go(func(context.Context) {
+		var total fakeSuspension
+		r.forwarder.Clock = graniteknot.AgeClock{Suspension: &total}
+		var background group.Group
+		background.Go(func(context.Context) {
 			<-begun
-			away.Add(int64(suspended))
-			r.forward.CancelExpired()
-			if !ends {
+			total.Add(int64(suspended))
+			r.forwarder.CancelExpired()
+			if !expires {
 				close(release)
 			}
 		})
 		result := r.do(context.Background())
-		if ends {
+		if expires {
 			close(release)
 		}
-		waits.Wait()
-		if got := result.Reason == forward.ReasonTimeout; got != ends {
+		background.Wait()
+		if got := result.Reason == forward.ReasonTimeout; got != expires {
 			t.Errorf("after %v: %+v", suspended, result)
 		}
 	}
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -65,7 +65,7 @@
 	{
 		Name: "a word that comes while a request connects is not looked at", File: "internal/core/fleet/word.go",
 		Old: "if l.target.barred(now) {", New: "if false {",
-		Package: "internal/core/forward", Test: "TestWordThatComesWhileConnecting",
+		Package: "internal/core/forward", Test: "TestReplicaSignalWhileConnecting",
 	},
 	{
 		Name: "all are sent to a replica that has just rested", File: "internal/core/fleet/word.go",
@@ -90,12 +90,12 @@
 	{
 		Name: "suspects are not blocked", File: "internal/core/quarantine/entry.go",
 		Old: "e.Quarantined() || e.Suspect && !e.Released && now.Sub(e.firstKnown) < suspectTTL", New: "e.Quarantined() || now.Sub(e.firstKnown) < 0",
-		Package: "internal/core/forward", Test: "TestOneEndInALockStepGroup",
+		Package: "internal/core/forward", Test: "TestCrashInLockStepGroupBlocksRequest",
 	},
 	{
 		Name: "responses before a crash are forgotten", File: "internal/core/quarantine/table.go",
 		Old: "\tt.answered.add(k, now)\n", New: "",
-		Package: "internal/core/forward", Test: "TestCommonRequestIsNotBlamed",
+		Package: "internal/core/forward", Test: "TestResponsesBeforeCrashPreventQuarantine",
 	},
 	{
 		Name: "the era of answers is not compared", File: "platform/store.go",
@@ -167,7 +167,7 @@
 	{
 		Name: "a request that connects needs no permit", File: "internal/core/fleet/word.go",
 		Old: "return l.target.word.limit.part.Take(now)", New: "return l.target.word.limit.part.Take(now) || true",
-		Package: "internal/core/forward", Test: "TestWordThatComesWhileConnecting/limit",
+		Package: "internal/core/forward", Test: "TestReplicaSignalWhileConnecting/limit",
 	},
 	{
 		Name: "what a replica says is told to nobody", File: "internal/core/fleet/limit.go", Old: "\t\t\tt.tell(told)\n", New: "",
