--- a/internal/core/forward/forwarder.go
+++ b/internal/core/forward/forwarder.go
@@ -42,13 +42,13 @@
 }
 
 const (
-	// targetMargin is the part of the latency target reserved for the network path between
+	// latencyMargin is the part of a route's latency target reserved for the network between
 	// client and replica.
-	targetMargin = 25 * time.Millisecond
-	// queueWaitTargets is how many latency targets a request may wait for capacity.
-	// Clients abandon a stream that delivers nothing for four latency targets.
-	queueWaitTargets = 3
-	// minQueueWait is the shortest limit, for routes without a latency target.
+	latencyMargin = 25 * time.Millisecond
+	// queueWaitFactor bounds the wait for capacity, as a multiple of the route's latency
+	// target. Clients abandon a stream that delivers nothing for four times that target.
+	queueWaitFactor = 3
+	// minQueueWait is the least such bound, for routes without a latency target.
 	minQueueWait = 500 * time.Millisecond
 )
 
@@ -172,8 +172,8 @@
 		from, first = r.lastEventAt, r.lastEventAt
 	}
 	return fleet.Waiting{
-		Aim:  first.Add(r.request.Route.Aim - targetMargin),
-		Last: from.Add(max(time.Duration(queueWaitTargets*float64(r.request.Route.Aim)), minQueueWait)),
+		Aim:  first.Add(r.request.Route.Aim - latencyMargin),
+		Last: from.Add(max(time.Duration(queueWaitFactor*float64(r.request.Route.Aim)), minQueueWait)),
 	}
 }
 
