--- a/internal/core/forward/attempt.go
+++ b/internal/core/forward/attempt.go
@@ -40,7 +40,7 @@
 	stop := context.AfterFunc(r.ctx, conn.Abort)
 	r.aborter = &attemptAborter{conn: conn}
 	if r.canRetryElsewhere() {
-		l.OnSilence(r.abortIfRetryAvailable)
+		l.OnReroute(r.abortIfRetryAvailable)
 	}
 	reusable := false
 	defer func() {
@@ -123,7 +123,7 @@
 		return stepRetry, refusalVerdict(&metadata), ReasonRefused, err == nil
 	}
 	r.mayHaveRun = true
-	l.Heard(r.f.Clock.Now())
+	l.RecordResponse(r.f.Clock.Now())
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBody+1))
 	if err != nil || len(body) > maxResponseBody {
 		next, v, reason = r.responseFailed(&conns.Error{Op: "read answer", Kind: conns.KindLost, Err: err})
--- a/internal/core/forward/crash.go
+++ b/internal/core/forward/crash.go
@@ -87,7 +87,7 @@
 	recorded := make(chan struct{})
 	replica := l.Replica
 	// A lock-step group stalls for as long as one of its ranks is missing.
-	suspect := replica.Group != "" && !l.Begun()
+	suspect := replica.Group != "" && !l.ResponseStarted()
 	f.crashes.background.Go(func(context.Context) {
 		defer close(recorded)
 		<-probe.done
--- a/internal/core/forward/forward_test.go
+++ b/internal/core/forward/forward_test.go
@@ -251,8 +251,8 @@
 			<-stuck
 			later := time.Now().Add(time.Minute)
 			r.forwarder.Fleet.Report(r.replicas[1].Address(), fleet.Load{Taken: later})
-			if _, leases := r.forwarder.Fleet.Watch(later); len(leases) == 1 {
-				leases[0].Move()
+			if _, leases := r.forwarder.Fleet.Sweep(later); len(leases) == 1 {
+				leases[0].Reroute()
 				return
 			}
 			cancel()
--- a/internal/core/forward/forwarder.go
+++ b/internal/core/forward/forwarder.go
@@ -158,22 +158,22 @@
 func (r *inflightRequest) query() *fleet.Query {
 	now := r.f.Clock.Now()
 	return &fleet.Query{
-		Service: r.request.Service, Size: r.request.Size, Urgency: r.request.Urgency(), Gap: r.request.Route.GapAim,
-		Tried: r.tried, Zone: r.f.Zone, Now: now, Asked: now,
+		Service: r.request.Service, Size: r.request.Size, Urgency: r.request.Urgency(), MaxGap: r.request.Route.GapAim,
+		Tried: r.tried, Zone: r.f.Zone, Now: now, RequestedAt: now,
 	}
 }
 
 // waitBounds limits the wait for capacity. For a request that its client retries, the
 // latency target counts from the first try. A stream that broke waits as if it had just
 // arrived, since its client measures the pause.
-func (r *inflightRequest) waitBounds() fleet.Waiting {
+func (r *inflightRequest) waitBounds() fleet.WaitBounds {
 	from, first := r.request.ReceivedAt, r.request.ReceivedAt.Add(-r.result.SinceFirstTry)
 	if r.result.ResponseStarted {
 		from, first = r.lastEventAt, r.lastEventAt
 	}
-	return fleet.Waiting{
-		Aim:  first.Add(r.request.Route.Aim - latencyMargin),
-		Last: from.Add(max(time.Duration(queueWaitFactor*float64(r.request.Route.Aim)), minQueueWait)),
+	return fleet.WaitBounds{
+		FirstEventBy: first.Add(r.request.Route.Aim - latencyMargin),
+		GiveUpAt:     from.Add(max(time.Duration(queueWaitFactor*float64(r.request.Route.Aim)), minQueueWait)),
 	}
 }
 
@@ -185,8 +185,8 @@
 	if r.blocked() {
 		return ReasonQuarantined
 	}
-	if r.f.Fleet.Rested(r.query()) > 0 {
-		if r.f.Fleet.Scarce(r.request.Service.Name, r.f.Clock.Now()) {
+	if r.f.Fleet.TimeUntilAvailable(r.query()) > 0 {
+		if r.f.Fleet.AllLimited(r.request.Service.Name, r.f.Clock.Now()) {
 			return ReasonRateLimited
 		}
 		return ReasonReplicaBackoff
@@ -264,7 +264,7 @@
 		slog.String("request", string(r.request.ID)), slog.Int("attempt", r.result.Attempts),
 		slog.String("replica", l.Replica.Life().String()), slog.String("address", string(l.Replica.Address)),
 		slog.String("verdict", v.String()), eventlog.Milliseconds("since_arrival", r.f.Clock.Since(r.request.ReceivedAt)),
-		slog.Int("own", in.Own), slog.Int("others", in.Others), slog.Int("room", in.Room), slog.Float64("skew", in.Skew), slog.Bool("trial", in.Trial),
+		slog.Int("own", in.Own), slog.Int("others", in.Others), slog.Int("room", in.Capacity), slog.Float64("skew", in.Skew), slog.Bool("trial", in.Probe),
 		eventlog.Milliseconds("pass", in.Pass), eventlog.Milliseconds("report_age", in.ReportAge), eventlog.Milliseconds("waited", in.Waited),
 	}
 	if in.Permit {
--- a/internal/core/forward/giveup.go
+++ b/internal/core/forward/giveup.go
@@ -26,11 +26,11 @@
 func (r *inflightRequest) retryAfter(reason Reason) time.Duration {
 	q := r.query()
 	if reason == ReasonRateLimited {
-		return r.f.Fleet.Place(q)
+		return r.f.Fleet.RetryDelay(q)
 	}
-	rested := r.f.Fleet.Rested(q)
+	rested := r.f.Fleet.TimeUntilAvailable(q)
 	if reason == ReasonBusy {
-		return max(rested, r.f.Fleet.Drained(q))
+		return max(rested, r.f.Fleet.QueueDrainTime(q))
 	}
 	return rested
 }
--- a/internal/core/forward/quarantine_test.go
+++ b/internal/core/forward/quarantine_test.go
@@ -74,7 +74,7 @@
 	table.RecordCrash(key, 1, time.Now())
 	service := &catalog.Service{Name: "s", Engine: &catalog.Engine{Slots: 1, Stride: 1}}
 	// The report keeps the group closed for the whole test.
-	r.forwarder.Fleet.Report(r.replicas[0].Address(), fleet.Load{Closed: true, Taken: time.Now().Add(time.Hour)})
+	r.forwarder.Fleet.Report(r.replicas[0].Address(), fleet.Load{GroupDown: true, Taken: time.Now().Add(time.Hour)})
 	r.route.Aim = testTimeout
 	request := &forward.RoutedRequest{
 		Request: r.request, Route: r.route, Service: service, Account: &catalog.Account{Name: "desk"}, RespondBy: time.Now().Add(testTimeout),
--- a/internal/core/forward/signals.go
+++ b/internal/core/forward/signals.go
@@ -19,11 +19,11 @@
 		return
 	}
 	answered := r.metadata.Sealed && !r.metadata.NotRun
-	signals := fleet.Word{
-		Rest: r.metadata.RetryAfter, Leaving: r.metadata.Leaving, Limit: r.metadata.RateLimit,
+	signals := fleet.Feedback{
+		Backoff: r.metadata.RetryAfter, Leaving: r.metadata.Leaving, Limit: r.metadata.RateLimit,
 		Answered: answered, Unlimited: answered && !r.metadata.RateLimit.Named && !r.metadata.RateLimit.Odd,
 	}
-	if l.Says(signals, r.f.Clock.Now()) {
+	if l.ApplyFeedback(signals, r.f.Clock.Now()) {
 		r.f.Log.Info("replica said", append(signalAttrs(&r.metadata), slog.String("replica", l.Replica.Life().String()))...)
 	}
 	if r.metadata.RetryAfter > 0 {
--- a/internal/core/forward/signals_test.go
+++ b/internal/core/forward/signals_test.go
@@ -18,8 +18,8 @@
 // while a request for it waits for a connection: the request is sent to the other replica,
 // which counts neither as an attempt nor as a retry.
 func TestReplicaSignalWhileConnecting(t *testing.T) {
-	for name, signal := range map[string]fleet.Word{
-		"backoff": {Rest: time.Minute}, "leaving": {Leaving: true}, "limit": {Limit: quota.Word{Named: true}},
+	for name, signal := range map[string]fleet.Feedback{
+		"backoff": {Backoff: time.Minute}, "leaving": {Leaving: true}, "limit": {Limit: quota.Word{Named: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newFixture(t, catalog.KindOnce, platformtest.Answer("first"), platformtest.Answer("second"))
@@ -28,7 +28,7 @@
 			other := r.forwarder.Fleet.Pick(&fleet.Query{Service: &catalog.Service{Name: "s"}, Zone: "z0", Now: time.Now()})
 			var once sync.Once
 			r.forwarder.ConnLimit = func(*catalog.Service) int {
-				once.Do(func() { other.Says(signal, time.Now()) })
+				once.Do(func() { other.ApplyFeedback(signal, time.Now()) })
 				return 0
 			}
 			// Release the lease, so that the request acquires the same replica.
--- a/internal/core/forward/stream.go
+++ b/internal/core/forward/stream.go
@@ -25,7 +25,7 @@
 	for {
 		n, err := resp.Body.Read(buffer)
 		if complete := events.feed(buffer[:n]); len(complete) > 0 {
-			l.Heard(r.f.Clock.Now())
+			l.RecordResponse(r.f.Clock.Now())
 			if gone := r.writeEvents(resp, complete, events.lastID); gone {
 				return stepDone, fleet.VerdictNone, ReasonClientGone, false
 			}
--- a/internal/core/forward/suspension_test.go
+++ b/internal/core/forward/suspension_test.go
@@ -25,7 +25,7 @@
 // for it, and then opens the group.
 func (r *fixture) whenQueued(t *testing.T, service *catalog.Service, change func()) {
 	t.Helper()
-	r.forwarder.Fleet.Report(r.replicas[0].Address(), fleet.Load{Closed: true, Taken: time.Now().Add(time.Hour)})
+	r.forwarder.Fleet.Report(r.replicas[0].Address(), fleet.Load{GroupDown: true, Taken: time.Now().Add(time.Hour)})
 	var background group.Group
 	background.Go(func(ctx context.Context) {
 		for r.forwarder.Fleet.Queued(service) == 0 && ctx.Err() == nil {
--- a/internal/core/gateway/limits.go
+++ b/internal/core/gateway/limits.go
@@ -46,11 +46,11 @@
 
 func (g *Gateway) sendLimitsNow() {
 	now := g.Clock.Now()
-	told, asks := g.Fleet.Outbox(now)
+	told, asks := g.Fleet.DrainOutbox(now)
 	if len(told) > 0 {
-		g.tellLimits(told, g.Members.Audience(g.Config.Box, now))
+		g.tellLimits(told, g.Members.DirectGateways(g.Config.Box, now))
 		if g.relaying.Load() {
-			g.tellLimits(told, g.Members.InZone(g.self()))
+			g.tellLimits(told, g.Members.ZoneGateways(g.self()))
 		}
 	}
 	for i := range asks {
@@ -80,11 +80,11 @@
 }
 
 // askLimit asks a limit's home for permits.
-func (g *Gateway) askLimit(a *fleet.LimitAsk, now time.Time) {
+func (g *Gateway) askLimit(a *fleet.PermitRequest, now time.Time) {
 	life := a.Key.Life()
-	home := g.limitHome(life, a.Silent/mostSilent, now)
+	home := g.limitHome(life, a.Unanswered/mostSilent, now)
 	g.countLimit("graniteknot_limit_asks_total", "sent", 1)
-	if a.Silent > 0 {
+	if a.Unanswered > 0 {
 		g.countLimit("graniteknot_limit_asks_total", "unanswered", 1)
 	}
 	if home == nil {
@@ -92,13 +92,13 @@
 		g.granted(&grant, now)
 		return
 	}
-	g.sendQuota(&quota.Message{Asks: []quota.Ask{a.Ask}}, []graniteknot.Address{home.Peers})
+	g.sendQuota(&quota.Message{Asks: []quota.Ask{a.Ask}}, []graniteknot.Address{home.PeerAddress})
 }
 
 // limitHome returns the gateway that deals out a limit, the next ones after some; nil for this
 // one.
 func (g *Gateway) limitHome(life catalog.Life, skip int, now time.Time) *presence.Member {
-	list := g.Members.Alive(presence.RoleGateway, g.Config.Box, now)
+	list := g.Members.ReadyMembers(presence.RoleGateway, g.Config.Box, now)
 	list = append(list, g.self())
 	name := life.String()
 	for ; skip%len(list) > 0; skip-- {
@@ -129,7 +129,7 @@
 		g.tookLimit(&a.Told[i], now)
 	}
 	life := a.Key.Life()
-	rate, limited, told := g.Fleet.Takes(life, now)
+	rate, limited, told := g.Fleet.LimitOf(life, now)
 	grant := quota.Grant{Key: a.Key}
 	if limited {
 		grant = g.Limits.Deal(now, life, rate, box, a.Want)
@@ -140,7 +140,7 @@
 }
 
 func (g *Gateway) granted(grant *quota.Grant, now time.Time) {
-	if g.Fleet.Granted(grant, now) {
+	if g.Fleet.ApplyGrant(grant, now) {
 		g.countLimit("graniteknot_limit_permits_total", "granted", grant.Count)
 	}
 }
@@ -159,14 +159,14 @@
 		}
 	}
 	if g.relaying.Load() {
-		g.tellLimits(fresh, g.Members.InZone(g.self()))
+		g.tellLimits(fresh, g.Members.ZoneGateways(g.self()))
 	}
 	for i := range message.Grants {
 		g.granted(&message.Grants[i], now)
 	}
 	for i := range message.Asks {
 		grant := g.dealLimit(&message.Asks[i], m.Box, now)
-		if to, known := g.Members.Peers(m.Box); known {
+		if to, known := g.Members.PeerAddress(m.Box); known {
 			g.sendQuota(&quota.Message{Grants: []quota.Grant{grant}}, []graniteknot.Address{to})
 		}
 	}
@@ -174,7 +174,7 @@
 
 // tookLimit takes in what another gateway knows of a limit; it returns whether that is new.
 func (g *Gateway) tookLimit(w *quota.Told, now time.Time) bool {
-	if !g.Fleet.Told(w, now) {
+	if !g.Fleet.ApplyNotice(w, now) {
 		return false
 	}
 	g.Log.Info("replica told", slog.String("replica", w.Key.Life().String()), slog.String("subject", w.Subject.String()),
@@ -199,7 +199,7 @@
 			told = append(told, w)
 		}
 	}
-	g.tellLimits(told, []graniteknot.Address{m.Peers})
+	g.tellLimits(told, []graniteknot.Address{m.PeerAddress})
 }
 
 func (g *Gateway) countLimit(name, what string, n int) {
