--- a/internal/core/gateway/drill_test.go
+++ b/internal/core/gateway/drill_test.go
@@ -129,7 +129,7 @@
 }
 
 func version(b *box) catalog.Version {
-	tree, _ := b.Trees.Current(b.Clock.Now())
+	tree, _ := b.Catalog.Current(b.Clock.Now())
 	if tree == nil {
 		return 0
 	}
@@ -153,7 +153,7 @@
 	d.store.Put(graniteknot.TopicSettings, "config", newest)
 	since := b.Clock.Now()
 	eventually(t, "it is proved in the new era", func() bool {
-		_, age := b.Trees.Current(b.Clock.Now())
+		_, age := b.Catalog.Current(b.Clock.Now())
 		return b.Clock.Since(since) > age
 	})
 	d.store.Put(graniteknot.TopicSettings, "config", former)
--- a/internal/core/gateway/follow.go
+++ b/internal/core/gateway/follow.go
@@ -41,7 +41,7 @@
 	f := watch.Follower{
 		Store: g.Store, Topic: graniteknot.TopicSettings, Health: &g.Health, Clock: g.Clock, WaitNow: g.settingsWait, Spacing: settingsSpacing,
 		Newest: g.takeSettings, Next: g.takeSettings, Revalidate: g.revalidateSettings, Elsewhere: g.settingsElsewhere, RevalidatePause: revalidatePause, Early: true,
-		Renewed: func(graniteknot.Era) { g.Trees.Renew() }, Vital: true, Wake: g.settingsWake,
+		Renewed: func(graniteknot.Era) { g.Catalog.Renew() }, Vital: true, Wake: g.settingsWake,
 	}
 	f.Run(ctx)
 }
@@ -50,13 +50,13 @@
 func (g *Gateway) takeSettings(records []graniteknot.KeyedRecord, began time.Time) {
 	newest, record := g.newestTree(records)
 	if newest == nil {
-		if g.Trees.Unchanged(began) {
+		if g.Catalog.Unchanged(began) {
 			from := g.ownRead()
 			g.settingsFrom.Store(&from)
 		}
 		return
 	}
-	g.Trees.Show(newest.Version)
+	g.Catalog.Show(newest.Version)
 	g.askBeforeFirst(newest.Version)
 	g.offer(newest, record, began, g.ownRead())
 }
@@ -86,8 +86,8 @@
 
 // offer takes a configuration into force unless a newer one is.
 func (g *Gateway) offer(newest *catalog.Tree, record graniteknot.KeyedRecord, began time.Time, from source) {
-	former, _ := g.Trees.Current(began)
-	changed, err := g.Trees.Offer(newest, began)
+	former, _ := g.Catalog.Current(began)
+	changed, err := g.Catalog.Offer(newest, began)
 	if err != nil {
 		g.Log.Warn("configuration refused", slog.Int64("version", int64(newest.Version)), slog.String("error", err.Error()))
 		return
@@ -222,7 +222,7 @@
 	if err != nil {
 		return replica, err
 	}
-	tree, _ := g.Trees.Current(g.Clock.Now())
+	tree, _ := g.Catalog.Current(g.Clock.Now())
 	if tree != nil && tree.Service(replica.Service) == nil {
 		return replica, fmt.Errorf("service %.80q is not configured", replica.Service)
 	}
@@ -265,7 +265,7 @@
 			g.Log.Info("replica gone", slog.String("replica", string(id)), slog.Bool("lapsed", true))
 		}
 	}
-	tree, age := g.Trees.Current(g.Clock.Now())
+	tree, age := g.Catalog.Current(g.Clock.Now())
 	if tree == nil {
 		return
 	}
@@ -279,7 +279,7 @@
 func (g *Gateway) watchSilence() {
 	g.sendLimitsNow()
 	g.tellLost()
-	g.Forward.Expire()
+	g.Forwarder.Expire()
 	changed, stuck := g.Fleet.Watch(g.Clock.Now())
 	for _, c := range changed {
 		g.Log.Warn("replica silent", slog.String("replica", string(c.Replica)), slog.Bool("silent", c.Silent),
--- a/internal/core/gateway/hello.go
+++ b/internal/core/gateway/hello.go
@@ -109,7 +109,7 @@
 
 // version is that of the configuration in force; 0 for none.
 func (g *Gateway) version() uint64 {
-	if tree, _ := g.Trees.Current(g.Clock.Now()); tree != nil {
+	if tree, _ := g.Catalog.Current(g.Clock.Now()); tree != nil {
 		return uint64(tree.Version)
 	}
 	return 0
--- a/internal/core/gateway/metrics.go
+++ b/internal/core/gateway/metrics.go
@@ -19,11 +19,11 @@
 // gauges has the gateway's state read whenever its figures are told.
 func (g *Gateway) gauges() {
 	g.Meter.Gauge("graniteknot_configuration_age_seconds", func() float64 {
-		_, age := g.Trees.Current(g.Clock.Now())
+		_, age := g.Catalog.Current(g.Clock.Now())
 		return age.Seconds()
 	})
 	g.Meter.Gauge("graniteknot_configuration_version", func() float64 {
-		tree, _ := g.Trees.Current(g.Clock.Now())
+		tree, _ := g.Catalog.Current(g.Clock.Now())
 		if tree == nil {
 			return 0
 		}
@@ -46,10 +46,10 @@
 
 // dropped counts the log lines that did not fit.
 func (g *Gateway) dropped() uint64 {
-	if g.Lines == nil {
+	if g.LogWriter == nil {
 		return 0
 	}
-	return g.Lines.Dropped()
+	return g.LogWriter.Dropped()
 }
 
 // serviceGauges adds the gauges of the services in a configuration.
--- a/internal/core/gateway/newer.go
+++ b/internal/core/gateway/newer.go
@@ -104,7 +104,7 @@
 	if t.version == 0 {
 		return
 	}
-	tree, age := g.Trees.Current(now)
+	tree, age := g.Catalog.Current(now)
 	own := catalog.Version(0)
 	if tree != nil {
 		own = tree.Version
--- a/internal/core/gateway/revalidate.go
+++ b/internal/core/gateway/revalidate.go
@@ -73,11 +73,11 @@
 		return !g.mayCall(askSettings, p.answered, g.Clock.Now())
 	}
 	now := g.Clock.Now()
-	tree, age := g.Trees.Current(now)
+	tree, age := g.Catalog.Current(now)
 	switch {
 	case tree != nil && p.State == uint64(tree.Version):
 		g.settingsFrom.Store(&source{p.from.Box, p.Reader})
-		return g.Trees.Prove(tree.Version, p.at)
+		return g.Catalog.Prove(tree.Version, p.at)
 	case tree != nil && p.State < uint64(tree.Version):
 		// The reader has yet to see what this gateway was told by another one.
 		return age < settingsTrust
@@ -87,7 +87,7 @@
 		return false
 	}
 	g.handSettings(records, p.at, p.source())
-	tree, _ = g.Trees.Current(now)
+	tree, _ = g.Catalog.Current(now)
 	return tree != nil && uint64(tree.Version) >= p.State
 }
 
@@ -207,7 +207,7 @@
 	case askQuarantinePart:
 		return g.quarantineShelf.Part(body, g.packQuarantine)
 	case askSettings:
-		tree, age := g.Trees.Current(now)
+		tree, age := g.Catalog.Current(now)
 		if tree == nil {
 			return nil, nil
 		}
--- a/internal/core/gateway/serve.go
+++ b/internal/core/gateway/serve.go
@@ -61,7 +61,7 @@
 	if job == nil || !x.body(found.tree.Limits.BodyBytes) {
 		return
 	}
-	result := x.gateway.Forward.Do(x.r.Context(), job, x)
+	result := x.gateway.Forwarder.Do(x.r.Context(), job, x)
 	x.end(&result)
 }
 
--- a/internal/core/gateway/share.go
+++ b/internal/core/gateway/share.go
@@ -115,7 +115,7 @@
 // the store does not answer; false when none has.
 func (g *Gateway) settingsElsewhere(ctx context.Context) bool {
 	known := uint64(0)
-	if tree, _ := g.Trees.Current(g.Clock.Now()); tree != nil {
+	if tree, _ := g.Catalog.Current(g.Clock.Now()); tree != nil {
 		known = uint64(tree.Version)
 	}
 	newer := func(state uint64) bool { return state > known }
--- a/internal/core/gateway/young.go
+++ b/internal/core/gateway/young.go
@@ -29,7 +29,7 @@
 func (g *Gateway) tree(ctx context.Context) (*catalog.Tree, time.Duration) {
 	for {
 		now := g.Clock.Now()
-		tree, age := g.Trees.Current(now)
+		tree, age := g.Catalog.Current(now)
 		if now.Sub(g.started) > youngFor || ctx.Err() != nil {
 			return tree, age
 		}
