--- a/internal/core/gateway/inlet.go
+++ b/internal/core/gateway/conn_listener.go
@@ -5,15 +5,15 @@
 	"sync"
 )
 
-// inlet is a listener that is given its connections.
-type inlet struct {
+// connListener is a listener that is given its connections.
+type connListener struct {
 	conns chan net.Conn
 	done  chan struct{}
 	once  sync.Once
 }
 
-// put hands a connection over.
-func (i *inlet) put(c net.Conn) {
+// deliver hands a connection over.
+func (i *connListener) deliver(c net.Conn) {
 	select {
 	case i.conns <- c:
 	case <-i.done:
@@ -22,7 +22,7 @@
 }
 
 // Accept implements net.Listener.
-func (i *inlet) Accept() (net.Conn, error) {
+func (i *connListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-i.conns:
 		return c, nil
@@ -32,10 +32,10 @@
 }
 
 // Close implements net.Listener.
-func (i *inlet) Close() error {
+func (i *connListener) Close() error {
 	i.once.Do(func() { close(i.done) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (*inlet) Addr() net.Addr { return &net.TCPAddr{} }
+func (*connListener) Addr() net.Addr { return &net.TCPAddr{} }
--- a/internal/core/gateway/follow.go
+++ b/internal/core/gateway/follow.go
@@ -14,58 +14,58 @@
 )
 
 const (
-	// settingsWait is how long one read of the settings waits for a change. Each
+	// settingsReadWait is how long one read of the settings waits for a change. Each
 	// read proves that the tree is the newest, so it bounds the tree's age. readerWait is the
 	// same for a gateway that reads for others, which bounds for how long a read may hang
 	// before another one reads.
-	settingsWait = 1500 * time.Millisecond
-	readerWait   = 1200 * time.Millisecond
-	// settingsSpacing is the least time between two reads: a change is seen so much later
+	settingsReadWait = 1500 * time.Millisecond
+	readerReadWait   = 1200 * time.Millisecond
+	// settingsReadSpacing is the least time between two reads: a change is seen so much later
 	// at most, a tenth of the time in which it has to be in force.
-	settingsSpacing = 200 * time.Millisecond
-	// replicasShare is the time between two reads of the replicas' records, which
+	settingsReadSpacing = 200 * time.Millisecond
+	// replicasPauseShare is the time between two reads of the replicas' records, which
 	// change with every heartbeat, as a part of the time after which a leaving
 	// replica must get no more requests.
-	replicasShare = 0.45
-	// doubtTime is how long after an outage of the store a vanished record is
+	replicasPauseShare = 0.45
+	// outageGrace is how long after an outage of the store a vanished record is
 	// not taken for the replica's end.
-	doubtTime = 2500 * time.Millisecond
-	// silencePeriod is how often silent replicas are looked for.
-	silencePeriod = 100 * time.Millisecond
-	// lookPeriod is how often lapsed records and the tree's age are looked at.
-	lookPeriod = 250 * time.Millisecond
+	outageGrace = 2500 * time.Millisecond
+	// silenceCheckPeriod is how often silent replicas are looked for.
+	silenceCheckPeriod = 100 * time.Millisecond
+	// ageCheckPeriod is how often lapsed records and the tree's age are looked at.
+	ageCheckPeriod = 250 * time.Millisecond
 )
 
 func (g *Gateway) followSettings(ctx context.Context) {
-	g.meet(ctx)
+	g.awaitMembers(ctx)
 	f := watch.Follower{
-		Store: g.Store, Topic: graniteknot.TopicSettings, Health: &g.Health, Clock: g.Clock, WaitNow: g.settingsWait, Spacing: settingsSpacing,
-		Newest: g.takeSettings, Next: g.takeSettings, Revalidate: g.revalidateSettings, Elsewhere: g.settingsElsewhere, RevalidatePause: revalidatePause, Early: true,
+		Store: g.Store, Topic: graniteknot.TopicSettings, Health: &g.Health, Clock: g.Clock, WaitNow: g.readWait, Spacing: settingsReadSpacing,
+		Newest: g.applySettings, Next: g.applySettings, Revalidate: g.revalidateSettings, Elsewhere: g.fetchSettingsFromPeer, RevalidatePause: revalidatePause, Early: true,
 		Renewed: func(graniteknot.Era) { g.Catalog.Renew() }, Vital: true, Wake: g.settingsWake,
 	}
 	f.Run(ctx)
 }
 
-// takeSettings takes in what a read of the store showed, which may be nothing new.
-func (g *Gateway) takeSettings(records []graniteknot.KeyedRecord, began time.Time) {
+// applySettings takes in what a read of the store showed, which may be nothing new.
+func (g *Gateway) applySettings(records []graniteknot.KeyedRecord, began time.Time) {
 	newest, record := g.newestTree(records)
 	if newest == nil {
 		if g.Catalog.Unchanged(began) {
-			from := g.ownRead()
-			g.settingsFrom.Store(&from)
+			from := g.ownSource()
+			g.settingsSource.Store(&from)
 		}
 		return
 	}
 	g.Catalog.Show(newest.Version)
-	g.askBeforeFirst(newest.Version)
-	g.offer(newest, record, began, g.ownRead())
+	g.checkPeersForNewer(newest.Version)
+	g.activate(newest, record, began, g.ownSource())
 }
 
-// handSettings takes the configuration that another gateway has, which it proved at a time.
+// applyPeerSettings takes the configuration that another gateway has, which it proved at a time.
 // It says nothing of what the store shows.
-func (g *Gateway) handSettings(records []graniteknot.KeyedRecord, at time.Time, from source) {
+func (g *Gateway) applyPeerSettings(records []graniteknot.KeyedRecord, at time.Time, from recordSource) {
 	if newest, record := g.newestTree(records); newest != nil {
-		g.offer(newest, record, at, from)
+		g.activate(newest, record, at, from)
 	}
 }
 
@@ -74,7 +74,7 @@
 	for _, r := range records {
 		tree, err := g.Translator.Tree(r)
 		if err != nil {
-			g.malformed("configuration", r, err)
+			g.reportMalformed("configuration", r, err)
 			continue
 		}
 		if tree != nil {
@@ -84,34 +84,34 @@
 	return newest, record
 }
 
-// offer takes a configuration into force unless a newer one is.
-func (g *Gateway) offer(newest *catalog.Tree, record graniteknot.KeyedRecord, began time.Time, from source) {
+// activate takes a configuration into force unless a newer one is.
+func (g *Gateway) activate(newest *catalog.Tree, record graniteknot.KeyedRecord, began time.Time, from recordSource) {
 	former, _ := g.Catalog.Current(began)
 	changed, err := g.Catalog.Offer(newest, began)
 	if err != nil {
 		g.Log.Warn("configuration refused", slog.Int64("version", int64(newest.Version)), slog.String("error", err.Error()))
 		return
 	}
-	g.settingsFrom.Store(&from)
+	g.settingsSource.Store(&from)
 	if changed {
-		g.shared.putSettings(record)
-		g.servers.limit(newest.Limits)
-		g.forgetUnconfigured(newest)
-		g.serviceGauges(newest)
-		g.warnOfConnections(newest)
-		g.logInForce(former, newest, began, from)
-		g.tellVersion(from)
+		g.recordCache.putSettings(record)
+		g.servers.setLimits(newest.Limits)
+		g.removeUnconfigured(newest)
+		g.registerServiceGauges(newest)
+		g.warnTooFewConnections(newest)
+		g.logActivation(former, newest, began, from)
+		g.announceVersion(from)
 	}
 }
 
-// logInForce tells that a configuration came into force, from whom, and for how long another
+// logActivation tells that a configuration came into force, from whom, and for how long another
 // gateway was known to have a newer one.
-func (g *Gateway) logInForce(former, newest *catalog.Tree, began time.Time, from source) {
+func (g *Gateway) logActivation(former, newest *catalog.Tree, began time.Time, from recordSource) {
 	now := g.Clock.Now()
-	behind, by := g.newer.taken(newest.Version, now)
+	behind, by := g.peerVersions.adopted(newest.Version, now)
 	fields := []slog.Attr{
 		slog.Int64("version", int64(newest.Version)), slog.Int("routes", newest.RouteCount()),
-		eventlog.Milliseconds("read_took", now.Sub(began)), slog.String("by", string(from.by)), slog.String("read_by", string(from.reader)),
+		eventlog.Milliseconds("read_took", now.Sub(began)), slog.String("by", string(from.peer)), slog.String("read_by", string(from.reader)),
 	}
 	if former != nil {
 		fields = append(fields, slog.Int64("former", int64(former.Version)))
@@ -121,92 +121,92 @@
 	}
 	g.Log.Info("configuration", fields...)
 	way := "peer"
-	if from == g.ownRead() {
+	if from == g.ownSource() {
 		way = "store"
 	}
 	g.Meter.Count("graniteknot_configurations_total", meter.Label{Name: "from", Value: way})
 	g.Meter.Observe("graniteknot_configuration_lag_seconds", behind)
 }
 
-// warnOfConnections tells of services whose replicas take fewer connections than there are
+// warnTooFewConnections tells of services whose replicas take fewer connections than there are
 // gateways: each keeps one all the same, and their sum may pass what a replica takes.
-func (g *Gateway) warnOfConnections(tree *catalog.Tree) {
+func (g *Gateway) warnTooFewConnections(tree *catalog.Tree) {
 	for _, s := range tree.Services() {
-		if s.MaxConnections > 0 && connShare*float64(s.MaxConnections) < float64(g.gateways()) {
-			g.Log.Warn("too few connections", slog.String("service", string(s.Name)), slog.Int("connections", s.MaxConnections), slog.Int("gateways", g.gateways()))
+		if s.MaxConnections > 0 && connShare*float64(s.MaxConnections) < float64(g.gatewayCount()) {
+			g.Log.Warn("too few connections", slog.String("service", string(s.Name)), slog.Int("connections", s.MaxConnections), slog.Int("gateways", g.gatewayCount()))
 		}
 	}
 }
 
-// forgetUnconfigured takes out the replicas of services that a configuration does not name.
-func (g *Gateway) forgetUnconfigured(tree *catalog.Tree) {
+// removeUnconfigured takes out the replicas of services that a configuration does not name.
+func (g *Gateway) removeUnconfigured(tree *catalog.Tree) {
 	for _, id := range g.Fleet.Unserved(func(s graniteknot.Service) bool { return tree.Service(s) != nil }) {
-		g.gone(id)
+		g.removeReplica(id)
 	}
 }
 
 func (g *Gateway) followReplicas(ctx context.Context) {
-	g.meet(ctx)
+	g.awaitMembers(ctx)
 	f := watch.Follower{
-		Store: g.Store, Topic: graniteknot.TopicReplicas, Health: &g.Health, Clock: g.Clock, Pause: time.Duration(replicasShare * float64(g.Config.Drain)),
-		Newest: g.resetReplicas, Next: g.takeReplicas, Revalidate: g.revalidateReplicas, Elsewhere: g.replicasElsewhere, RevalidatePause: revalidatePause, Early: true,
+		Store: g.Store, Topic: graniteknot.TopicReplicas, Health: &g.Health, Clock: g.Clock, Pause: time.Duration(replicasPauseShare * float64(g.Config.Drain)),
+		Newest: g.replaceReplicas, Next: g.applyReplicas, Revalidate: g.revalidateReplicas, Elsewhere: g.fetchReplicasFromPeer, RevalidatePause: revalidatePause, Early: true,
 		Urgent: func() bool { return g.Fleet.Doubted(g.Clock.Now()) }, Vital: true, Wake: g.replicasWake,
 	}
 	f.Run(ctx)
 }
 
-// resetReplicas takes the newest records; a replica without one has vanished.
-func (g *Gateway) resetReplicas(records []graniteknot.KeyedRecord, began time.Time) {
+// replaceReplicas takes the newest records; a replica without one has vanished.
+func (g *Gateway) replaceReplicas(records []graniteknot.KeyedRecord, began time.Time) {
 	there := map[catalog.ReplicaID]bool{}
 	for _, r := range records {
 		there[catalog.ReplicaID(r.Key)] = true
 	}
 	for _, id := range g.Fleet.IDs() {
 		if !there[id] {
-			g.vanished(id)
+			g.handleVanished(id)
 		}
 	}
-	g.takeReplicas(records, began)
+	g.applyReplicas(records, began)
 }
 
-// handReplicas takes the records that another gateway knows as of a time. If that is
+// applyPeerReplicas takes the records that another gateway knows as of a time. If that is
 // newer than what this one knows, a replica without a record is gone: the other one keeps
 // those whose records vanished while the store was not to be trusted. Whether this
 // gateway's own way to the store is disturbed does not matter, so that one that the store
 // turns away sends nothing to a replica that has left.
-func (g *Gateway) handReplicas(records []graniteknot.KeyedRecord, at time.Time) {
+func (g *Gateway) applyPeerReplicas(records []graniteknot.KeyedRecord, at time.Time) {
 	now := g.Clock.Now()
-	if age, read := g.validity.age(now); !read || at.After(now.Add(-age)) {
+	if age, read := g.freshness.age(now); !read || at.After(now.Add(-age)) {
 		there := map[catalog.ReplicaID]bool{}
 		for _, r := range records {
 			there[catalog.ReplicaID(r.Key)] = true
 		}
 		for _, id := range g.Fleet.IDs() {
 			if !there[id] {
-				g.gone(id)
+				g.removeReplica(id)
 			}
 		}
 	}
-	g.takeReplicas(records, at)
+	g.applyReplicas(records, at)
 }
 
-func (g *Gateway) takeReplicas(records []graniteknot.KeyedRecord, began time.Time) {
+func (g *Gateway) applyReplicas(records []graniteknot.KeyedRecord, began time.Time) {
 	now := g.Clock.Now()
-	since := g.validity.since()
-	defer g.validity.prove(began)
+	since := g.freshness.lastConfirmed()
+	defer g.freshness.confirm(began)
 	for _, r := range records {
 		if len(r.Value) == 0 {
-			g.vanished(catalog.ReplicaID(r.Key))
+			g.handleVanished(catalog.ReplicaID(r.Key))
 			continue
 		}
-		replica, err := g.replica(r)
+		replica, err := g.parseReplica(r)
 		if err != nil {
 			// Whatever stood under the key before names no replica any more.
-			g.malformed("replica", r, err)
-			g.gone(catalog.ReplicaID(r.Key))
+			g.reportMalformed("replica", r, err)
+			g.removeReplica(catalog.ReplicaID(r.Key))
 			continue
 		}
-		g.shared.putReplica(r)
+		g.recordCache.putReplica(r)
 		if g.Fleet.PutSince(replica, since, now) {
 			g.Log.Info("replica", slog.String("replica", r.Key), slog.String("service", string(replica.Service)),
 				slog.String("address", string(replica.Address)), slog.Bool("draining", replica.Draining),
@@ -215,9 +215,9 @@
 	}
 }
 
-// replica reads a replica's record. One of a service that the configuration does not name
-// names no replica to use either; it could else stand for one at the same address.
-func (g *Gateway) replica(r graniteknot.KeyedRecord) (catalog.Replica, error) {
+// parseReplica reads a parseReplica's record. One of a service that the configuration does not name
+// names no parseReplica to use either; it could else stand for one at the same address.
+func (g *Gateway) parseReplica(r graniteknot.KeyedRecord) (catalog.Replica, error) {
 	replica, err := g.Translator.Replica(r)
 	if err != nil {
 		return replica, err
@@ -229,39 +229,39 @@
 	return replica, nil
 }
 
-// malformed counts and tells a record that can't be used. Whoever writes to the store can
+// reportMalformed counts and tells a record that can't be used. Whoever writes to the store can
 // write as many as he likes.
-func (g *Gateway) malformed(what string, r graniteknot.KeyedRecord, err error) {
+func (g *Gateway) reportMalformed(what string, r graniteknot.KeyedRecord, err error) {
 	g.Meter.Count("graniteknot_malformed_records_total", meter.Label{Name: "record", Value: what})
-	g.odd.Warn(g.Log, "malformed "+what, r.Key, err.Error(), slog.Int64("position", r.At.Offset()))
+	g.malformedLog.Warn(g.Log, "malformed "+what, r.Key, err.Error(), slog.Int64("position", r.At.Offset()))
 }
 
-// vanished acts on a record that is gone. While the store is away, and shortly
+// handleVanished acts on a record that is gone. While the store is away, and shortly
 // after, records lapse that live replicas will write again.
-func (g *Gateway) vanished(id catalog.ReplicaID) {
-	if g.Health.Doubtful(g.Clock.Now(), doubtTime) {
+func (g *Gateway) handleVanished(id catalog.ReplicaID) {
+	if g.Health.Doubtful(g.Clock.Now(), outageGrace) {
 		if g.Fleet.Lapse(id, g.Clock.Now()) {
 			g.Log.Info("replica lapsed", slog.String("replica", string(id)))
 		}
 		return
 	}
-	g.gone(id)
+	g.removeReplica(id)
 }
 
-// gone forgets a replica.
-func (g *Gateway) gone(id catalog.ReplicaID) {
-	g.shared.dropReplica(string(id))
+// removeReplica forgets a replica.
+func (g *Gateway) removeReplica(id catalog.ReplicaID) {
+	g.recordCache.dropReplica(string(id))
 	if g.Fleet.Remove(id) {
 		g.Log.Info("replica gone", slog.String("replica", string(id)))
 	}
 }
 
-// look removes replicas that did not come back, and tells when the
+// checkAges removes replicas that did not come back, and tells when the
 // configuration becomes too old to trust keys, or new enough again.
-func (g *Gateway) look() {
+func (g *Gateway) checkAges() {
 	if back, up := g.Health.Back(); up {
 		for _, id := range g.Fleet.Expire(back, g.Clock.Now()) {
-			g.shared.dropReplica(string(id))
+			g.recordCache.dropReplica(string(id))
 			g.Log.Info("replica gone", slog.String("replica", string(id)), slog.Bool("lapsed", true))
 		}
 	}
@@ -269,16 +269,16 @@
 	if tree == nil {
 		return
 	}
-	stale := !g.trusts(tree, age)
-	if g.stale.Swap(stale) != stale {
+	stale := !g.trustsKeys(tree, age)
+	if g.keysStale.Swap(stale) != stale {
 		g.Log.Warn("configuration age", slog.Bool("stale", stale), slog.Int64("version", int64(tree.Version)), eventlog.Milliseconds("age", age))
 	}
 }
 
-// watchSilence moves requests away from replicas that are cut off.
-func (g *Gateway) watchSilence() {
-	g.sendLimitsNow()
-	g.tellLost()
+// checkSilence moves requests away from replicas that are cut off.
+func (g *Gateway) checkSilence() {
+	g.sendLimits()
+	g.announceStoreLoss()
 	g.Forwarder.Expire()
 	changed, stuck := g.Fleet.Watch(g.Clock.Now())
 	for _, c := range changed {
--- a/internal/core/gateway/gateway.go
+++ b/internal/core/gateway/gateway.go
@@ -30,9 +30,9 @@
 	// start of the read that proved the configuration, and a key that was taken
 	// away since was taken away after that.
 	keyMargin = 100 * time.Millisecond
-	// spareGateways is how many more gateways may come than are known, before
+	// gatewayHeadroom is how many more gateways may come than are known, before
 	// the connections and retries of all are divided anew.
-	spareGateways = 3
+	gatewayHeadroom = 3
 	// connShare is the part of a replica's connections that the gateways use.
 	connShare = 0.8
 	// sweepPeriod is how often connections that rested too long are closed.
@@ -70,56 +70,56 @@
 	Limits quota.Home
 
 	socket *presence.Socket
-	// census learns who is known from relays.
-	census presence.Census
-	// met is closed once the members are known, or can't be read; before that unknown is set
+	// discovery learns who is known from relays.
+	discovery presence.Census
+	// membersLoaded is closed once the members are known, or can't be read; before that unknown is set
 	// where the store has no record of this gateway.
-	met     chan struct{}
-	unknown bool
-	// wanted is closed when a request first has to wait for the configuration.
-	wanted     chan struct{}
-	wantedOnce sync.Once
-	started    time.Time
-	servers    servers
-	group      group.Group
-	// validity knows how old the replicas' records are.
-	validity validity
-	// shared are the records that other gateways may take.
-	shared shared
-	// due tells that something of limits is to be sent.
-	due chan struct{}
-	// quarantineShelf has packs of the quarantine that others are taking.
-	quarantineShelf presence.Shelf
-	// ward tells and keeps what the quarantine knows.
-	ward ward
+	membersLoaded chan struct{}
+	unregistered  bool
+	// configNeeded is closed when a request first has to wait for the configuration.
+	configNeeded     chan struct{}
+	configNeededOnce sync.Once
+	startedAt        time.Time
+	servers          servers
+	group            group.Group
+	// freshness knows how old the replicas' records are.
+	freshness freshness
+	// recordCache are the records that other gateways may take.
+	recordCache recordCache
+	// limitsPending tells that something of limits is to be sent.
+	limitsPending chan struct{}
+	// quarantinePacks has packs of the quarantine that others are taking.
+	quarantinePacks presence.Shelf
+	// quarantineReplication tells and keeps what the quarantine knows.
+	quarantineReplication replicationState
 	// bundler collects what this gateway passes on as a relay; relaying tells that it is
 	// one, and relayed when it last told all others so.
-	bundler  presence.Bundler
-	relaying atomic.Bool
-	relayed  time.Time
+	bundler          presence.Bundler
+	relaying         atomic.Bool
+	relayAnnouncedAt time.Time
 	// leaving is set once a planned stop has begun.
 	leaving atomic.Bool
-	// bounds are the settings that a reload changes; the rest of Config is fixed
+	// reloadable are the settings that a reload changes; the rest of Config is fixed
 	// for the life of the process.
-	bounds atomic.Pointer[directconf.Config]
-	// odd tells of records that can't be used.
-	odd eventlog.Sparse
-	// firstAsked tells that others were asked before the first configuration came into force;
+	reloadable atomic.Pointer[directconf.Config]
+	// malformedLog tells of records that can't be used.
+	malformedLog eventlog.Sparse
+	// firstVersionChecked tells that others were asked before the first configuration came into force;
 	// the settings' follower alone uses it.
-	firstAsked bool
-	// lost is what was last told of the store; lostChanges counts what was heard of others.
-	lost        atomic.Bool
-	lostChanges atomic.Uint64
-	// settingsWake and replicasWake end the pauses of those that follow the store; newerWake
+	firstVersionChecked bool
+	// storeLost is what was last told of the store; lostChanges counts what was heard of others.
+	storeLost       atomic.Bool
+	seenLossChanges atomic.Uint64
+	// settingsWake and replicasWake end the pauses of those that follow the store; peerVersionWake
 	// tells that another gateway has a newer configuration, relayWake that the zone is to be
 	// told something at once.
-	settingsWake, replicasWake, newerWake, relayWake chan struct{}
-	// newer knows of the newest configuration that others have; settingsFrom is the source of
+	settingsWake, replicasWake, peerVersionWake, relayWake chan struct{}
+	// peerVersions knows of the newest configuration that others have; settingsFrom is the source of
 	// the last proof of this one's.
-	newer        newer
-	settingsFrom atomic.Pointer[source]
-	// stale tells that the last look found the configuration too old.
-	stale atomic.Bool
+	peerVersions   peerVersions
+	settingsSource atomic.Pointer[recordSource]
+	// keysStale tells that the last look found the configuration too old.
+	keysStale atomic.Bool
 }
 
 // New returns a gateway that does nothing until Start.
@@ -129,22 +129,22 @@
 	}
 	p.Store = &watch.Metered{Store: p.Store, Meter: p.Meter}
 	g := &Gateway{
-		Options: p, met: make(chan struct{}), wanted: make(chan struct{}), due: make(chan struct{}, 1),
+		Options: p, membersLoaded: make(chan struct{}), configNeeded: make(chan struct{}), limitsPending: make(chan struct{}, 1),
 		settingsWake: make(chan struct{}, 1), replicasWake: make(chan struct{}, 1),
-		newerWake: make(chan struct{}, 1), relayWake: make(chan struct{}, 1),
+		peerVersionWake: make(chan struct{}, 1), relayWake: make(chan struct{}, 1),
 	}
-	g.bounds.Store(p.Config)
-	g.settingsFrom.Store(&source{})
+	g.reloadable.Store(p.Config)
+	g.settingsSource.Store(&recordSource{})
 	g.servers.network = p.Network
 	g.Health.Log = p.Log
 	g.Fleet.Clock, g.Pool.Clock = p.Clock, p.Clock
 	g.Forwarder = forward.Forwarder{
 		Dialect: p.Translator, Pool: &g.Pool, Fleet: &g.Fleet, Log: p.Log, Meter: p.Meter, Zone: p.Config.Zone,
-		Clock: p.Clock, Fresh: g.fresh, ConnLimit: g.connLimit, Quarantine: &g.Quarantine,
+		Clock: p.Clock, Fresh: g.keysFresh, ConnLimit: g.connLimit, Quarantine: &g.Quarantine,
 		Budgets: &forward.Budgets{Percent: g.retryPercent, Burst: g.retryBurst},
 	}
-	g.Quarantine.Changed = g.quarantineChanged
-	g.Fleet.OnOutbox(quota.BoxOf(p.Config.Box), g.limitsDue)
+	g.Quarantine.Changed = g.onQuarantineChange
+	g.Fleet.OnOutbox(quota.BoxOf(p.Config.Box), g.signalLimits)
 	return g
 }
 
@@ -155,44 +155,44 @@
 	if err != nil {
 		return err
 	}
-	g.started = g.Clock.Now()
-	g.socket = presence.NewSocket(conn, c.Box, g.Incarnation, g.Log, g.heard)
-	g.census = presence.Census{Socket: g.socket, View: &g.Members, Self: g.self(), From: g.readersPeers, Clock: g.Clock}
+	g.startedAt = g.Clock.Now()
+	g.socket = presence.NewSocket(conn, c.Box, g.Incarnation, g.Log, g.receive)
+	g.discovery = presence.Census{Socket: g.socket, View: &g.Members, Self: g.self(), From: g.readerAddresses, Clock: g.Clock}
 	g.socket.Respond(g.answerPeer)
 	if err := g.listen(ctx); err != nil {
 		return err
 	}
-	g.gauges()
-	g.follow()
+	g.registerGauges()
+	g.startLoops()
 	g.Log.Info("started", slog.String("requests", string(c.Requests)), slog.String("zone", string(c.Zone)),
 		slog.String("store", string(c.Store)), slog.Uint64("born", uint64(g.Incarnation)))
 	return nil
 }
 
-// follow begins the loops.
-func (g *Gateway) follow() {
+// startLoops begins the loops.
+func (g *Gateway) startLoops() {
 	g.group.Go(g.followSettings)
 	g.group.Go(g.followReplicas)
 	g.group.Go(g.followQuarantine)
-	g.group.Go(g.sendLimits)
-	g.group.Go(g.takeNewer)
-	g.group.Go(g.relayEarly)
+	g.group.Go(g.runLimitSender)
+	g.group.Go(g.followPeerVersions)
+	g.group.Go(g.relayOnWake)
 	registrar := &presence.Registrar{
 		Store: g.Store, Self: g.self(), View: &g.Members, Health: &g.Health, Log: g.Log, Clock: g.Clock,
-		Joined: g.greet, Elsewhere: g.askCensus, Met: g.membersMet,
+		Joined: g.sendHeartbeatTo, Elsewhere: g.discoverMembers, Met: g.onMembersLoaded,
 	}
 	g.group.Go(registrar.Register)
 	g.group.Go(registrar.Follow)
-	g.every(presence.Period, g.hello)
-	g.every(presence.BundlePeriod, g.relay)
-	g.every(sweepPeriod, g.Pool.Sweep)
-	g.every(lookPeriod, g.look)
-	g.every(silencePeriod, g.watchSilence)
-	g.every(wardPeriod, g.keepQuarantine)
+	g.runEvery(presence.Period, g.sendHeartbeat)
+	g.runEvery(presence.BundlePeriod, g.relayBundles)
+	g.runEvery(sweepPeriod, g.Pool.Sweep)
+	g.runEvery(ageCheckPeriod, g.checkAges)
+	g.runEvery(silenceCheckPeriod, g.checkSilence)
+	g.runEvery(quarantineWritePeriod, g.maintainQuarantine)
 }
 
-// every calls step at a period until the gateway stops.
-func (g *Gateway) every(period time.Duration, step func()) {
+// runEvery calls step at a period until the gateway stops.
+func (g *Gateway) runEvery(period time.Duration, step func()) {
 	g.group.Go(func(ctx context.Context) { delay.Every(ctx, period, func(context.Context) { step() }) })
 }
 
@@ -210,46 +210,46 @@
 		return false
 	}
 	tree, age := g.Catalog.Current(g.Clock.Now())
-	return tree != nil && (!tree.Tenanted || g.trusts(tree, age))
+	return tree != nil && (!tree.Tenanted || g.trustsKeys(tree, age))
 }
 
-func (g *Gateway) keyAge() time.Duration { return g.bounds.Load().KeyAge - keyMargin }
+func (g *Gateway) maxKeyAge() time.Duration { return g.reloadable.Load().KeyAge - keyMargin }
 
-// fresh tells whether a key may be trusted now.
-func (g *Gateway) fresh() bool {
+// keysFresh tells whether a key may be trusted now.
+func (g *Gateway) keysFresh() bool {
 	tree, age := g.Catalog.Current(g.Clock.Exact())
-	return tree != nil && g.trusts(tree, age)
+	return tree != nil && g.trustsKeys(tree, age)
 }
 
-// trusts tells whether a key may be trusted under a tree that was last proved to
+// trustsKeys tells whether a key may be trusted under a tree that was last proved to
 // be the newest so long ago. Strict operators have keys refused from a certain
 // age on, since one may have been taken away. Others have them served on, but not
 // once another gateway is known to have a newer tree.
-func (g *Gateway) trusts(tree *catalog.Tree, age time.Duration) bool {
-	if age < g.keyAge() {
+func (g *Gateway) trustsKeys(tree *catalog.Tree, age time.Duration) bool {
+	if age < g.maxKeyAge() {
 		return true
 	}
-	return g.bounds.Load().KeysUnproved && uint64(tree.Version) >= g.Members.NewestSettings()
+	return g.reloadable.Load().KeysUnproved && uint64(tree.Version) >= g.Members.NewestSettings()
 }
 
-// gateways is how many may send requests, those still to come included.
-func (g *Gateway) gateways() int {
-	return len(g.Members.Members(presence.RoleGateway, g.Config.Box)) + 1 + spareGateways
+// gatewayCount is how many may send requests, those still to come included.
+func (g *Gateway) gatewayCount() int {
+	return len(g.Members.Members(presence.RoleGateway, g.Config.Box)) + 1 + gatewayHeadroom
 }
 
 func (g *Gateway) connLimit(s *catalog.Service) int {
 	if s.MaxConnections == 0 {
 		return 0
 	}
-	return max(1, int(connShare*float64(s.MaxConnections))/g.gateways())
+	return max(1, int(connShare*float64(s.MaxConnections))/g.gatewayCount())
 }
 
 // retryShare is the part of the retry budget that is used, since windows slide
 // and the gateways do not see each other's retries.
 const retryShare = 0.7
 
-func (g *Gateway) retryPercent() int64 { return int64(retryShare * g.bounds.Load().RetryPercent) }
+func (g *Gateway) retryPercent() int64 { return int64(retryShare * g.reloadable.Load().RetryPercent) }
 
 func (g *Gateway) retryBurst() float64 {
-	return retryShare * g.bounds.Load().RetryExtra / float64(g.gateways())
+	return retryShare * g.reloadable.Load().RetryExtra / float64(g.gatewayCount())
 }
--- /dev/null
+++ b/internal/core/gateway/heartbeat.go
@@ -0,0 +1,204 @@
+package gateway
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	graniteknot "graniteknot.org/go"
+	"graniteknot.org/go/catalog"
+	"graniteknot.org/go/internal/core/fleet"
+	"graniteknot.org/go/internal/core/presence"
+	"graniteknot.org/go/internal/delay"
+)
+
+// sendHeartbeat tells the other gateways that this one lives: a relay tells all processes now
+// and then, so that they know where to tell what it passes on.
+func (g *Gateway) sendHeartbeat() {
+	now := g.Clock.Now()
+	relaying := g.Members.Relaying(g.self(), !g.leaving.Load(), now)
+	if g.relaying.Swap(relaying) != relaying {
+		g.Log.Info("relay", slog.Bool("relaying", relaying))
+	}
+	to := g.Members.Audience(g.Config.Box, now)
+	if relaying && now.Sub(g.relayAnnouncedAt) >= presence.RelayPeriod {
+		g.relayAnnouncedAt = now
+		to = g.allPeers()
+	}
+	g.socket.Send(g.heartbeat(), to)
+	g.Fleet.Share(len(g.Members.Alive(presence.RoleGateway, g.Config.Box, now)) + 1)
+}
+
+// sendHeartbeatTo tells a new member that this gateway lives.
+func (g *Gateway) sendHeartbeatTo(m presence.Member) {
+	g.socket.Send(g.heartbeat(), []graniteknot.Address{m.Peers})
+	g.sendOwnedLimits(&m)
+}
+
+// relaySpacing is the least time between two bundles that are sent early.
+const relaySpacing = 50 * time.Millisecond
+
+const (
+	// membersTimeout bounds how long a gateway that starts waits for the members' records.
+	membersTimeout = 250 * time.Millisecond
+	// concurrentStartTimeout bounds how long a gateway that never ran before waits for others that start
+	// with it, othersStill is how long no more of them must have come.
+	concurrentStartTimeout = time.Second
+	concurrentStartQuiet   = 600 * time.Millisecond
+	concurrentStartPoll    = 20 * time.Millisecond
+)
+
+// onMembersLoaded notes that the members' records were read, or can't be.
+func (g *Gateway) onMembersLoaded(unknown bool) {
+	g.unregistered = unknown
+	close(g.membersLoaded)
+}
+
+// awaitMembers waits until the members are known. Then a gateway of a large deployment need not
+// read the store's other records itself: at a start of 149 that is 450 calls.
+func (g *Gateway) awaitMembers(ctx context.Context) {
+	timer := time.NewTimer(membersTimeout)
+	defer timer.Stop()
+	select {
+	case <-g.membersLoaded:
+		if g.unregistered {
+			g.awaitConcurrentStarts(ctx)
+		}
+	case <-timer.C:
+	case <-ctx.Done():
+	}
+}
+
+// awaitConcurrentStarts waits for gateways that start for the first time together with this one: none
+// finds records of all the others, and each would read all that one can read for all. The first
+// request ends it.
+func (g *Gateway) awaitConcurrentStarts(ctx context.Context) {
+	began := g.Clock.Now()
+	known, since := 0, began
+	for ctx.Err() == nil {
+		now := g.Clock.Now()
+		if n := len(g.Members.Members(presence.RoleGateway, g.Config.Box)); n != known {
+			known, since = n, now
+		}
+		alone := known == 0 || now.Sub(since) < concurrentStartQuiet
+		if g.usesReaders(now) || !alone || now.Sub(began) >= concurrentStartTimeout {
+			return
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(concurrentStartPoll):
+		case <-g.configNeeded:
+			// A request waits: it is not held up for the sake of calls.
+			return
+		}
+	}
+}
+
+// discoverMembers learns from others who is known; the readers read the store.
+func (g *Gateway) discoverMembers(ctx context.Context) bool {
+	return len(g.readersToAsk(g.Clock.Now())) > 0 && g.discovery.Ask(ctx)
+}
+
+// heartbeat is what this gateway tells of itself.
+func (g *Gateway) heartbeat() presence.Message {
+	self := g.self()
+	hello := presence.Message{Ready: g.ready(), Self: &self, Relay: g.relaying.Load(), Quarantine: g.Quarantine.Digest(), Lost: g.storeLost.Load()}
+	hello.Settings = g.ownVersion()
+	return hello
+}
+
+// ownVersion is that of the configuration in force; 0 for none.
+func (g *Gateway) ownVersion() uint64 {
+	if tree, _ := g.Catalog.Current(g.Clock.Now()); tree != nil {
+		return uint64(tree.Version)
+	}
+	return 0
+}
+
+// allPeers returns where all other processes take datagrams.
+func (g *Gateway) allPeers() []graniteknot.Address {
+	var to []graniteknot.Address
+	for _, role := range []presence.Role{presence.RoleGateway, presence.RoleSidecar} {
+		for _, m := range g.Members.Members(role, g.Config.Box) {
+			to = append(to, m.Peers)
+		}
+	}
+	return to
+}
+
+// relayOnWake passes on at once what the gateways of the zone have to know soon.
+func (g *Gateway) relayOnWake(ctx context.Context) {
+	for ctx.Err() == nil {
+		select {
+		case <-ctx.Done():
+		case <-g.relayWake:
+			g.relayBundles()
+			delay.For(ctx, relaySpacing)
+		}
+	}
+}
+
+// relayBundles passes on what was heard of late, if this gateway is a relayBundles.
+func (g *Gateway) relayBundles() {
+	bundles := g.bundler.Bundles(g.Clock.Now())
+	if !g.relaying.Load() {
+		return
+	}
+	to := g.Members.InZone(g.self())
+	for i := range bundles {
+		g.socket.Send(presence.Message{Ready: g.ready(), Relay: true, Settings: g.ownVersion(), Lost: g.storeLost.Load(), Bundle: &bundles[i]}, to)
+	}
+}
+
+// receive takes a datagram.
+func (g *Gateway) receive(m *presence.Message) {
+	now := g.Clock.Now()
+	if m.Bundle != nil {
+		g.receiveBundle(m, now)
+		return
+	}
+	if m.Quarantined != nil {
+		g.receiveQuarantine(m, now)
+		return
+	}
+	if m.Quota != nil {
+		g.receiveQuota(m, now)
+		return
+	}
+	if g.Members.Heard(m, now) {
+		g.sendOwnedLimits(m.Self)
+	}
+	g.observeVersion(versionNotice{catalog.Version(m.Settings), m.Box, true}, now)
+	g.checkReaderLosses()
+	g.bundler.Take(m, now)
+	if m.Self != nil {
+		g.fetchQuarantine(m)
+	}
+	if m.Load != nil {
+		g.Fleet.Report(m.Load.Target, loadOf(m.Load, now))
+	}
+}
+
+// receiveBundle takes what a relay passes on.
+func (g *Gateway) receiveBundle(m *presence.Message, now time.Time) {
+	g.Members.Told(m, now)
+	g.observeVersion(versionNotice{catalog.Version(m.Settings), m.Box, true}, now)
+	g.observeVersion(versionNotice{catalog.Version(m.Bundle.Settings), m.Box, false}, now)
+	g.checkReaderLosses()
+	for i := range m.Bundle.Reports {
+		r := &m.Bundle.Reports[i]
+		d := m.Bundle.Digest(r)
+		l := loadOf(&d, now.Add(-time.Duration(r.Age)*time.Millisecond))
+		l.Relayed = true
+		g.Fleet.Report(d.Target, l)
+	}
+}
+
+// loadOf is what a sidecar told of its replica at a time.
+func loadOf(d *presence.Digest, taken time.Time) fleet.Load {
+	return fleet.Load{
+		Running: d.Running, Waiting: d.Waiting, Pace: float64(d.Pace),
+		Pass: time.Duration(d.Pass) * time.Microsecond, Closed: !d.Open, Taken: taken, Life: d.Life,
+		Forecast: fleet.Forecast{Skew: float64(d.Skew), Loading: d.Loading, Number: d.Forecast},
+	}
+}
--- a/internal/core/gateway/limits.go
+++ b/internal/core/gateway/limits.go
@@ -20,51 +20,51 @@
 // told, and one gateway, the limit's home, deals out permits to those that ask. All find
 // the home from who lives; two that differ in that ask two homes until they agree.
 
-// mostSilent is how many asks in a row a home may leave unanswered before the next gateway is
+// maxUnansweredAsks is how many asks in a row a home may leave unanswered before the next gateway is
 // asked: it is heard, but does not hear.
-const mostSilent = 3
+const maxUnansweredAsks = 3
 
-// limitsDue tells that something is to be told or asked; it never waits.
-func (g *Gateway) limitsDue() {
+// signalLimits tells that something is to be told or asked; it never waits.
+func (g *Gateway) signalLimits() {
 	select {
-	case g.due <- struct{}{}:
+	case g.limitsPending <- struct{}{}:
 	default:
 	}
 }
 
-// sendLimits tells and asks what there is, as soon as there is something.
-func (g *Gateway) sendLimits(ctx context.Context) {
+// runLimitSender tells and asks what there is, as soon as there is something.
+func (g *Gateway) runLimitSender(ctx context.Context) {
 	for {
 		select {
-		case <-g.due:
-			g.sendLimitsNow()
+		case <-g.limitsPending:
+			g.sendLimits()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (g *Gateway) sendLimitsNow() {
+func (g *Gateway) sendLimits() {
 	now := g.Clock.Now()
 	told, asks := g.Fleet.Outbox(now)
 	if len(told) > 0 {
-		g.tellLimits(told, g.Members.Audience(g.Config.Box, now))
+		g.sendLimitReports(told, g.Members.Audience(g.Config.Box, now))
 		if g.relaying.Load() {
-			g.tellLimits(told, g.Members.InZone(g.self()))
+			g.sendLimitReports(told, g.Members.InZone(g.self()))
 		}
 	}
 	for i := range asks {
-		g.askLimit(&asks[i], now)
+		g.requestPermits(&asks[i], now)
 	}
 }
 
-// mostLimitsTold is how many limits one datagram tells, of some 50 bytes each.
-const mostLimitsTold = 20
+// maxLimitsPerDatagram is how many limits one datagram tells, of some 50 bytes each.
+const maxLimitsPerDatagram = 20
 
-// tellLimits tells other gateways of limits.
-func (g *Gateway) tellLimits(told []quota.Told, to []graniteknot.Address) {
+// sendLimitReports tells other gateways of limits.
+func (g *Gateway) sendLimitReports(told []quota.Told, to []graniteknot.Address) {
 	for len(told) > 0 && len(to) > 0 {
-		n := min(mostLimitsTold, len(told))
+		n := min(maxLimitsPerDatagram, len(told))
 		g.sendQuota(&quota.Message{Told: told[:n]}, to)
 		told = told[n:]
 	}
@@ -79,41 +79,41 @@
 	g.socket.Send(presence.Message{Ready: g.ready(), Quota: body}, to)
 }
 
-// askLimit asks a limit's home for permits.
-func (g *Gateway) askLimit(a *fleet.LimitAsk, now time.Time) {
+// requestPermits asks a limit's home for permits.
+func (g *Gateway) requestPermits(a *fleet.LimitAsk, now time.Time) {
 	life := a.Key.Life()
-	home := g.limitHome(life, a.Silent/mostSilent, now)
+	home := g.limitOwner(life, a.Silent/maxUnansweredAsks, now)
 	g.countLimit("graniteknot_limit_asks_total", "sent", 1)
 	if a.Silent > 0 {
 		g.countLimit("graniteknot_limit_asks_total", "unanswered", 1)
 	}
 	if home == nil {
-		grant := g.dealLimit(&a.Ask, g.Config.Box, now)
-		g.granted(&grant, now)
+		grant := g.grantPermits(&a.Ask, g.Config.Box, now)
+		g.applyGrant(&grant, now)
 		return
 	}
 	g.sendQuota(&quota.Message{Asks: []quota.Ask{a.Ask}}, []graniteknot.Address{home.Peers})
 }
 
-// limitHome returns the gateway that deals out a limit, the next ones after some; nil for this
+// limitOwner returns the gateway that deals out a limit, the next ones after some; nil for this
 // one.
-func (g *Gateway) limitHome(life catalog.Life, skip int, now time.Time) *presence.Member {
+func (g *Gateway) limitOwner(life catalog.Life, skip int, now time.Time) *presence.Member {
 	list := g.Members.Alive(presence.RoleGateway, g.Config.Box, now)
 	list = append(list, g.self())
 	name := life.String()
 	for ; skip%len(list) > 0; skip-- {
-		list = append(list[:first(list, name)], list[first(list, name)+1:]...)
+		list = append(list[:ownerIndex(list, name)], list[ownerIndex(list, name)+1:]...)
 	}
-	home := &list[first(list, name)]
+	home := &list[ownerIndex(list, name)]
 	if home.Box == g.Config.Box {
 		return nil
 	}
 	return home
 }
 
-// first returns the index of the gateway that a limit falls to: few limits change their home as
+// ownerIndex returns the index of the gateway that a limit falls to: few limits change their home as
 // a gateway comes or goes.
-func first(list []presence.Member, life string) int {
+func ownerIndex(list []presence.Member, life string) int {
 	best, most := 0, uint64(0)
 	for i := range list {
 		if sum := xxhash.Sum64String(string(list[i].Box) + "\x00" + life); sum >= most {
@@ -123,10 +123,10 @@
 	return best
 }
 
-// dealLimit answers an ask.
-func (g *Gateway) dealLimit(a *quota.Ask, box graniteknot.BoxName, now time.Time) quota.Grant {
+// grantPermits answers an ask.
+func (g *Gateway) grantPermits(a *quota.Ask, box graniteknot.BoxName, now time.Time) quota.Grant {
 	for i := range a.Told {
-		g.tookLimit(&a.Told[i], now)
+		g.applyLimitReport(&a.Told[i], now)
 	}
 	life := a.Key.Life()
 	rate, limited, told := g.Fleet.Takes(life, now)
@@ -139,14 +139,14 @@
 	return grant
 }
 
-func (g *Gateway) granted(grant *quota.Grant, now time.Time) {
+func (g *Gateway) applyGrant(grant *quota.Grant, now time.Time) {
 	if g.Fleet.Granted(grant, now) {
 		g.countLimit("graniteknot_limit_permits_total", "granted", grant.Count)
 	}
 }
 
-// limitsHeard takes in what another gateway tells, asks or grants.
-func (g *Gateway) limitsHeard(m *presence.Message, now time.Time) {
+// receiveQuota takes in what another gateway tells, asks or grants.
+func (g *Gateway) receiveQuota(m *presence.Message, now time.Time) {
 	message, err := quota.Decode(m.Quota)
 	if err != nil {
 		g.Log.Warn("limits", slog.String("peer", string(m.Box)), slog.String("error", err.Error()))
@@ -154,26 +154,26 @@
 	}
 	var fresh []quota.Told
 	for i := range message.Told {
-		if g.tookLimit(&message.Told[i], now) {
+		if g.applyLimitReport(&message.Told[i], now) {
 			fresh = append(fresh, message.Told[i])
 		}
 	}
 	if g.relaying.Load() {
-		g.tellLimits(fresh, g.Members.InZone(g.self()))
+		g.sendLimitReports(fresh, g.Members.InZone(g.self()))
 	}
 	for i := range message.Grants {
-		g.granted(&message.Grants[i], now)
+		g.applyGrant(&message.Grants[i], now)
 	}
 	for i := range message.Asks {
-		grant := g.dealLimit(&message.Asks[i], m.Box, now)
+		grant := g.grantPermits(&message.Asks[i], m.Box, now)
 		if to, known := g.Members.Peers(m.Box); known {
 			g.sendQuota(&quota.Message{Grants: []quota.Grant{grant}}, []graniteknot.Address{to})
 		}
 	}
 }
 
-// tookLimit takes in what another gateway knows of a limit; it returns whether that is new.
-func (g *Gateway) tookLimit(w *quota.Told, now time.Time) bool {
+// applyLimitReport takes in what another gateway knows of a limit; it returns whether that is new.
+func (g *Gateway) applyLimitReport(w *quota.Told, now time.Time) bool {
 	if !g.Fleet.Told(w, now) {
 		return false
 	}
@@ -182,24 +182,24 @@
 	return true
 }
 
-// greetLimits tells a new gateway of the limits that this one is the home of, so that it knows
+// sendOwnedLimits tells a new gateway of the limits that this one is the home of, so that it knows
 // them before its first request.
-func (g *Gateway) greetLimits(m *presence.Member) {
+func (g *Gateway) sendOwnedLimits(m *presence.Member) {
 	if m.Role != presence.RoleGateway {
 		return
 	}
 	now := g.Clock.Now()
 	var told []quota.Told
 	for _, w := range g.Fleet.Limits(now) {
-		home := g.limitHome(w.Key.Life(), 0, now)
+		home := g.limitOwner(w.Key.Life(), 0, now)
 		if home != nil && home.Box == m.Box {
-			home = g.limitHome(w.Key.Life(), 1, now)
+			home = g.limitOwner(w.Key.Life(), 1, now)
 		}
 		if home == nil {
 			told = append(told, w)
 		}
 	}
-	g.tellLimits(told, []graniteknot.Address{m.Peers})
+	g.sendLimitReports(told, []graniteknot.Address{m.Peers})
 }
 
 func (g *Gateway) countLimit(name, what string, n int) {
--- a/internal/core/gateway/listen.go
+++ b/internal/core/gateway/listen.go
@@ -11,49 +11,49 @@
 	"graniteknot.org/go/internal/core/presence"
 )
 
-// mostAddresses is the most addresses that callers take from one answer.
-const mostAddresses = 64
+// maxAddresses is the most addresses that callers take from one answer.
+const maxAddresses = 64
 
-// answerShare is the part of the longest life of an address answer that is
+// addressTTLShare is the part of the longest life of an address answer that is
 // given: some callers keep answers for three times as long.
-const answerShare = 0.6
+const addressTTLShare = 0.6
 
 // listen opens the gateway's addresses.
 func (g *Gateway) listen(ctx context.Context) error {
 	c := g.Config
-	if err := g.servers.requests(ctx, c.Requests, http.HandlerFunc(g.serve)); err != nil {
+	if err := g.servers.serveCallers(ctx, c.Requests, http.HandlerFunc(g.serve)); err != nil {
 		return err
 	}
 	ready := mux.NewRouter()
-	ready.HandleFunc(g.Translator.ReadyPath(), g.answerReady).Methods(http.MethodGet)
-	if err := g.servers.plain(ctx, c.Readiness, ready); err != nil {
+	ready.HandleFunc(g.Translator.ReadyPath(), g.serveReadiness).Methods(http.MethodGet)
+	if err := g.servers.serveHandler(ctx, c.Readiness, ready); err != nil {
 		return err
 	}
 	directory := mux.NewRouter()
-	directory.HandleFunc(g.Translator.DirectoryPath(), g.answerAddresses).Methods(http.MethodGet)
-	if err := g.servers.plain(ctx, c.Directory, directory); err != nil {
+	directory.HandleFunc(g.Translator.DirectoryPath(), g.serveAddresses).Methods(http.MethodGet)
+	if err := g.servers.serveHandler(ctx, c.Directory, directory); err != nil {
 		return err
 	}
 	if c.Metrics == "" {
 		return nil
 	}
-	return g.servers.plain(ctx, c.Metrics, http.HandlerFunc(g.answerMetrics))
+	return g.servers.serveHandler(ctx, c.Metrics, http.HandlerFunc(g.serveMetrics))
 }
 
-func (g *Gateway) answerReady(w http.ResponseWriter, _ *http.Request) {
+func (g *Gateway) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	if !g.ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-func (g *Gateway) answerAddresses(w http.ResponseWriter, r *http.Request) {
+func (g *Gateway) serveAddresses(w http.ResponseWriter, r *http.Request) {
 	g.Translator.AskedFor(r)
 	list := g.addresses(g.Clock.Now())
 	if len(list) == 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	life := time.Duration(answerShare * float64(g.bounds.Load().AnswerLife))
+	life := time.Duration(addressTTLShare * float64(g.reloadable.Load().AnswerLife))
 	if err := g.Translator.Addresses(w, list, life); err != nil {
 		g.Log.Warn("address answer: " + err.Error())
 	}
@@ -66,15 +66,15 @@
 	if g.ready() {
 		out = append(out, g.Config.Requests)
 	}
-	out = appendRequests(out, g.Members.Alive(presence.RoleGateway, g.Config.Box, now))
+	out = appendRequestAddresses(out, g.Members.Alive(presence.RoleGateway, g.Config.Box, now))
 	if len(out) == 0 {
-		out = appendRequests(out, g.Members.Members(presence.RoleGateway, g.Config.Box))
+		out = appendRequestAddresses(out, g.Members.Members(presence.RoleGateway, g.Config.Box))
 	}
-	return out[:min(len(out), mostAddresses)]
+	return out[:min(len(out), maxAddresses)]
 }
 
-// appendRequests appends where gateways take requests, of those that say so.
-func appendRequests(out []graniteknot.Address, members []presence.Member) []graniteknot.Address {
+// appendRequestAddresses appends where gateways take requests, of those that say so.
+func appendRequestAddresses(out []graniteknot.Address, members []presence.Member) []graniteknot.Address {
 	for _, m := range members {
 		if m.Requests != "" {
 			out = append(out, m.Requests)
--- a/internal/core/gateway/metrics.go
+++ b/internal/core/gateway/metrics.go
@@ -10,14 +10,14 @@
 	"graniteknot.org/go/internal/core/presence"
 )
 
-// answerMetrics writes the process's figures in text form.
-func (g *Gateway) answerMetrics(w http.ResponseWriter, _ *http.Request) {
+// serveMetrics writes the process's figures in text form.
+func (g *Gateway) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	g.Meter.Write(w)
 }
 
-// gauges has the gateway's state read whenever its figures are told.
-func (g *Gateway) gauges() {
+// registerGauges has the gateway's state read whenever its figures are told.
+func (g *Gateway) registerGauges() {
 	g.Meter.Gauge("graniteknot_configuration_age_seconds", func() float64 {
 		_, age := g.Catalog.Current(g.Clock.Now())
 		return age.Seconds()
@@ -30,7 +30,7 @@
 		return float64(tree.Version)
 	})
 	g.Meter.Gauge("graniteknot_configuration_behind_seconds", func() float64 {
-		behind, _ := g.newer.behind(g.Clock.Now())
+		behind, _ := g.peerVersions.behindFor(g.Clock.Now())
 		return behind.Seconds()
 	})
 	g.Meter.Gauge("graniteknot_gateways_alive", func() float64 {
@@ -41,19 +41,19 @@
 	g.Meter.Gauge("graniteknot_requests_quarantined", func() float64 { return float64(g.Quarantine.Blocking()) })
 	g.Meter.Gauge("graniteknot_replicas_limited", func() float64 { return float64(len(g.Fleet.Limits(g.Clock.Now()))) })
 	g.Meter.Gauge("graniteknot_store_renewals", func() float64 { return float64(g.Health.Renewals()) })
-	g.Meter.Gauge("graniteknot_log_lines_dropped", func() float64 { return float64(g.dropped()) })
+	g.Meter.Gauge("graniteknot_log_lines_dropped", func() float64 { return float64(g.droppedLogLines()) })
 }
 
-// dropped counts the log lines that did not fit.
-func (g *Gateway) dropped() uint64 {
+// droppedLogLines counts the log lines that did not fit.
+func (g *Gateway) droppedLogLines() uint64 {
 	if g.LogWriter == nil {
 		return 0
 	}
 	return g.LogWriter.Dropped()
 }
 
-// serviceGauges adds the gauges of the services in a configuration.
-func (g *Gateway) serviceGauges(tree *catalog.Tree) {
+// registerServiceGauges adds the gauges of the services in a configuration.
+func (g *Gateway) registerServiceGauges(tree *catalog.Tree) {
 	for _, s := range tree.Services() {
 		label := meter.Label{Name: "service", Value: string(s.Name)}
 		g.Meter.Gauge("graniteknot_requests_queued", func() float64 { return float64(g.Fleet.Queued(s)) }, label)
@@ -64,8 +64,8 @@
 	}
 }
 
-// count takes a request's end into the figures.
-func (x *exchange) count(r *forward.Result) {
+// recordMetrics takes a request's end into the figures.
+func (x *exchange) recordMetrics(r *forward.Result) {
 	m := x.gateway.Meter
 	kind := meter.Label{Name: "kind", Value: x.job.Route.Kind.String()}
 	service := meter.Label{Name: "service", Value: string(x.job.Service.Name)}
--- a/internal/core/gateway/quarantine.go
+++ b/internal/core/gateway/quarantine.go
@@ -19,33 +19,33 @@
 // gateways that reach no other and for the time after all have ended.
 
 const (
-	// askQuarantinePart asks for a part of what is known.
-	askQuarantinePart presence.Kind = 22
-	// mostTold is how many entries one datagram holds, of at most 45 bytes each.
-	mostTold = 20
-	// quarantineWait is how long one read of the records waits for a change.
-	quarantineWait = 20 * time.Second
+	// queryQuarantinePart asks for a part of what is known.
+	queryQuarantinePart presence.Kind = 22
+	// maxEntriesPerDatagram is how many entries one datagram holds, of at most 45 bytes each.
+	maxEntriesPerDatagram = 20
+	// quarantineReadWait is how long one read of the records waits for a change.
+	quarantineReadWait = 20 * time.Second
 	// quarantineReaders is how many gateways read the records where they do so for all.
 	quarantineReaders = 2
-	// quarantineSpacing is the least time between two reads.
-	quarantineSpacing = 300 * time.Millisecond
-	// quarantinePause is the time between two looks whether other gateways still read
+	// quarantineReadSpacing is the least time between two reads.
+	quarantineReadSpacing = 300 * time.Millisecond
+	// quarantineReaderCheck is the time between two looks whether other gateways still read
 	// the records, where they do so for all.
-	quarantinePause = time.Second
-	// wardPeriod is the time between two looks whether the store has a record of each
+	quarantineReaderCheck = time.Second
+	// quarantineWritePeriod is the time between two looks whether the store has a record of each
 	// request that is kept from replicas. Whoever found it out writes it; had that
 	// process ended, another does after wardPatience.
-	wardPeriod   = 500 * time.Millisecond
-	wardPatience = 1500 * time.Millisecond
+	quarantineWritePeriod = 500 * time.Millisecond
+	quarantineWriteDelay  = 1500 * time.Millisecond
 )
 
-// quarantineChanged tells what an own request showed.
-func (g *Gateway) quarantineChanged(e quarantine.Entry) {
+// onQuarantineChange tells what an own request showed.
+func (g *Gateway) onQuarantineChange(e quarantine.Entry) {
 	g.logQuarantined(&e)
-	g.ward.expect(&e, g.Clock.Now())
-	g.tellQuarantine([]quarantine.Entry{e}, g.Members.Audience(g.Config.Box, g.Clock.Now()))
+	g.quarantineReplication.scheduleWrite(&e, g.Clock.Now())
+	g.sendQuarantine([]quarantine.Entry{e}, g.Members.Audience(g.Config.Box, g.Clock.Now()))
 	if g.relaying.Load() {
-		g.tellQuarantine([]quarantine.Entry{e}, g.Members.InZone(g.self()))
+		g.sendQuarantine([]quarantine.Entry{e}, g.Members.InZone(g.self()))
 	}
 }
 
@@ -61,8 +61,8 @@
 	}
 }
 
-// tellQuarantine tells other gateways entries, few enough for a datagram.
-func (g *Gateway) tellQuarantine(entries []quarantine.Entry, to []graniteknot.Address) {
+// sendQuarantine tells other gateways entries, few enough for a datagram.
+func (g *Gateway) sendQuarantine(entries []quarantine.Entry, to []graniteknot.Address) {
 	body, err := quarantine.Encode(entries)
 	if err != nil {
 		g.Log.Warn("quarantine", slog.String("error", err.Error()))
@@ -71,8 +71,8 @@
 	g.socket.Send(presence.Message{Quarantined: body}, to)
 }
 
-// quarantineHeard takes in what another gateway told; a relay passes on what is new.
-func (g *Gateway) quarantineHeard(m *presence.Message, now time.Time) {
+// receiveQuarantine takes in what another gateway told; a relay passes on what is new.
+func (g *Gateway) receiveQuarantine(m *presence.Message, now time.Time) {
 	entries, err := quarantine.Decode(m.Quarantined)
 	if err != nil {
 		g.Log.Warn("quarantine", slog.String("peer", string(m.Box)), slog.String("error", err.Error()))
@@ -80,7 +80,7 @@
 	}
 	fresh := g.mergeQuarantine(entries, now)
 	if len(fresh) > 0 && g.relaying.Load() {
-		g.tellQuarantine(fresh, g.Members.InZone(g.self()))
+		g.sendQuarantine(fresh, g.Members.InZone(g.self()))
 	}
 }
 
@@ -95,22 +95,22 @@
 		if whole, known := g.Quarantine.Entry(entries[i].Key, now); known {
 			fresh = append(fresh, whole)
 			g.logQuarantined(&whole)
-			g.ward.expect(&whole, now.Add(wardPatience))
+			g.quarantineReplication.scheduleWrite(&whole, now.Add(quarantineWriteDelay))
 		}
 	}
 	return fresh
 }
 
-// compareQuarantine takes what another gateway knows where its digest differs.
-func (g *Gateway) compareQuarantine(m *presence.Message) {
-	if m.Quarantine == 0 || m.Quarantine == g.Quarantine.Digest() || !g.ward.differs(m.Box, m.Quarantine) {
+// fetchQuarantine takes what another gateway knows where its digest differs.
+func (g *Gateway) fetchQuarantine(m *presence.Message) {
+	if m.Quarantine == 0 || m.Quarantine == g.Quarantine.Digest() || !g.quarantineReplication.digestChanged(m.Box, m.Quarantine) {
 		return
 	}
 	box, from := m.Box, m.Self.Peers
 	g.group.Go(func(ctx context.Context) {
-		records, err := g.socket.Fetch(ctx, from, askQuarantinePart)
+		records, err := g.socket.Fetch(ctx, from, queryQuarantinePart)
 		if err != nil {
-			g.ward.forget(box)
+			g.quarantineReplication.forgetDigest(box)
 			return
 		}
 		now := g.Clock.Now()
@@ -122,7 +122,7 @@
 			}
 			fresh := g.mergeQuarantine(entries, now)
 			if len(fresh) > 0 && g.relaying.Load() {
-				g.tellQuarantine(fresh, g.Members.InZone(g.self()))
+				g.sendQuarantine(fresh, g.Members.InZone(g.self()))
 			}
 		}
 	})
@@ -133,7 +133,7 @@
 	var records []graniteknot.KeyedRecord
 	entries := g.Quarantine.Entries(g.Clock.Now())
 	for len(entries) > 0 {
-		n := min(mostTold, len(entries))
+		n := min(maxEntriesPerDatagram, len(entries))
 		value, err := quarantine.Encode(entries[:n])
 		if err != nil {
 			return nil, err
@@ -146,44 +146,44 @@
 // followQuarantine reads the records. In a large deployment the gateways that read for
 // all do, and their digests tell the others.
 func (g *Gateway) followQuarantine(ctx context.Context) {
-	g.meet(ctx)
+	g.awaitMembers(ctx)
 	f := watch.Follower{
-		Store: g.Store, Topic: graniteknot.TopicQuarantine, Health: &g.Health, Clock: g.Clock, Wait: quarantineWait, Spacing: quarantineSpacing,
-		Newest: g.takeQuarantine, Next: g.takeQuarantine, Early: true, RevalidatePause: quarantinePause,
+		Store: g.Store, Topic: graniteknot.TopicQuarantine, Health: &g.Health, Clock: g.Clock, Wait: quarantineReadWait, Spacing: quarantineReadSpacing,
+		Newest: g.applyQuarantineRecords, Next: g.applyQuarantineRecords, Early: true, RevalidatePause: quarantineReaderCheck,
 		Revalidate: func(context.Context) bool { return !g.readsQuarantine(g.Clock.Now()) },
-		Renewed:    func(graniteknot.Era) { g.renewQuarantine() },
+		Renewed:    func(graniteknot.Era) { g.rewriteQuarantine() },
 	}
 	f.Run(ctx)
 }
 
-// renewQuarantine has the records written again that the store lost when it came back from
+// rewriteQuarantine has the records written again that the store lost when it came back from
 // an older copy. All that read them find that out at once, so each waits for a while of its
 // own, and the first one's records tell the others.
-func (g *Gateway) renewQuarantine() {
+func (g *Gateway) rewriteQuarantine() {
 	now := g.Clock.Now()
-	g.ward.renew()
+	g.quarantineReplication.resetStored()
 	for _, e := range g.Quarantine.Entries(now) {
-		g.ward.expect(&e, now.Add(rand.N(wardPatience)))
+		g.quarantineReplication.scheduleWrite(&e, now.Add(rand.N(quarantineWriteDelay)))
 	}
 }
 
 // readsQuarantine tells whether this gateway reads the records itself.
 func (g *Gateway) readsQuarantine(now time.Time) bool {
-	return !g.many(now) || g.readsFirst(quarantineReaders, now)
+	return !g.usesReaders(now) || g.isAmongFirstReaders(quarantineReaders, now)
 }
 
-func (g *Gateway) takeQuarantine(records []graniteknot.KeyedRecord, _ time.Time) {
+func (g *Gateway) applyQuarantineRecords(records []graniteknot.KeyedRecord, _ time.Time) {
 	now := g.Clock.Now()
 	for _, r := range records {
 		e, err := quarantine.EntryOf(r)
 		if err != nil {
-			g.malformed("quarantine", r, err)
+			g.reportMalformed("quarantine", r, err)
 			continue
 		}
-		g.ward.store(&e)
+		g.quarantineReplication.markStored(&e)
 		if whole, known := g.Quarantine.Entry(e.Key, now); known && whole.Released && e.Blocks() {
 			// A copy of the store has it from before its release.
-			g.ward.expect(&whole, now.Add(rand.N(wardPatience)))
+			g.quarantineReplication.scheduleWrite(&whole, now.Add(rand.N(quarantineWriteDelay)))
 		}
 		if g.Quarantine.Merge(&e, now) {
 			g.Log.Info("quarantine record", slog.String("identity", r.Key), slog.Bool("released", e.Released), slog.Int64("position", r.At.Offset()))
@@ -191,26 +191,26 @@
 	}
 }
 
-// keepQuarantine writes the records that the store lacks, and has entries go that have
+// maintainQuarantine writes the records that the store lacks, and has entries go that have
 // stood for long enough.
-func (g *Gateway) keepQuarantine() {
+func (g *Gateway) maintainQuarantine() {
 	now := g.Clock.Now()
 	for _, k := range g.Quarantine.Expire(now) {
-		g.ward.expect(&quarantine.Entry{Key: k, Released: true}, now)
+		g.quarantineReplication.scheduleWrite(&quarantine.Entry{Key: k, Released: true}, now)
 	}
 	if !g.readsQuarantine(now) {
 		return
 	}
-	for _, k := range g.ward.missing(now) {
-		if !g.writeQuarantine(k, now) {
+	for _, k := range g.quarantineReplication.dueWrites(now) {
+		if !g.writeQuarantineRecord(k, now) {
 			return
 		}
 	}
 }
 
-// writeQuarantine writes the record of one request; one that fails is tried again with
+// writeQuarantineRecord writes the record of one request; one that fails is tried again with
 // the next look.
-func (g *Gateway) writeQuarantine(k quarantine.Key, now time.Time) bool {
+func (g *Gateway) writeQuarantineRecord(k quarantine.Key, now time.Time) bool {
 	e, known := g.Quarantine.Entry(k, now)
 	if !known {
 		e = quarantine.Entry{Key: k, Released: true}
@@ -223,6 +223,6 @@
 		g.Log.Warn("quarantine record", slog.String("identity", k.String()), slog.String("error", err.Error()))
 		return false
 	}
-	g.ward.store(&e)
+	g.quarantineReplication.markStored(&e)
 	return true
 }
--- a/internal/core/gateway/reload.go
+++ b/internal/core/gateway/reload.go
@@ -10,7 +10,7 @@
 // Reload takes new settings into force. Addresses and names stay as they are
 // until the process starts anew.
 func (g *Gateway) Reload(c *directconf.Config) {
-	old := g.bounds.Swap(c)
+	old := g.reloadable.Swap(c)
 	g.Log.Info("reloaded", slog.Bool("changed", *old != *c), slog.Bool("needs_restart", needsRestart(g.Config, c)),
 		eventlog.Milliseconds("key_age", c.KeyAge), eventlog.Milliseconds("answer_life", c.AnswerLife),
 		slog.Bool("keys_unproved", c.KeysUnproved), eventlog.Milliseconds("stop_bound", c.Stop), slog.Float64("retry_extra", c.RetryExtra),
--- a/internal/core/gateway/serve.go
+++ b/internal/core/gateway/serve.go
@@ -16,16 +16,16 @@
 	"graniteknot.org/go/internal/core/meter"
 )
 
-// refusedAgain is when a caller may come back that was refused for want of
+// retryAfterUnavailable is when a caller may come back that was refused for want of
 // room, configuration or replicas.
-const refusedAgain = 300 * time.Millisecond
+const retryAfterUnavailable = 300 * time.Millisecond
 
-// busyAgain is when a caller may come back that was refused for want of room
+// retryAfterBusy is when a caller may come back that was refused for want of room
 // after it had waited: sooner, it would meet the same crowd.
-const busyAgain = 1800 * time.Millisecond
+const retryAfterBusy = 1800 * time.Millisecond
 
-// quarantinedAgain is when a caller may come back whose request ends replicas: not soon.
-const quarantinedAgain = time.Minute
+// retryAfterQuarantined is when a caller may come back whose request ends replicas: not soon.
+const retryAfterQuarantined = time.Minute
 
 // serve takes one caller's request to its answer.
 func (g *Gateway) serve(w http.ResponseWriter, r *http.Request) {
@@ -33,11 +33,11 @@
 	if g.leaving.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	tree, age := g.tree(r.Context())
+	tree, age := g.awaitTree(r.Context())
 	request, err := g.Translator.Request(r, arrived)
-	x := &exchange{gateway: g, w: w, r: r, request: request, age: age}
+	x := &exchange{gateway: g, w: w, r: r, request: request, versionAge: age}
 	if tree == nil {
-		x.refuse(http.StatusServiceUnavailable, "no-configuration", refusedAgain)
+		x.refuse(http.StatusServiceUnavailable, "no-configuration", retryAfterUnavailable)
 		return
 	}
 	x.version = tree.Version
@@ -45,10 +45,10 @@
 		x.refuse(http.StatusBadRequest, "malformed", 0)
 		return
 	}
-	found, deny := grantOf(tree, request)
+	found, deny := authorize(tree, request)
 	if deny != (denial{}) {
 		permitted := false
-		if found, permitted = x.reconsider(); !permitted {
+		if found, permitted = x.recheck(); !permitted {
 			return
 		}
 	}
@@ -56,13 +56,13 @@
 }
 
 // forward takes a request that the configuration allows to its answer.
-func (x *exchange) forward(found grant) {
+func (x *exchange) forward(found access) {
 	job := x.admit(found)
-	if job == nil || !x.body(found.tree.Limits.BodyBytes) {
+	if job == nil || !x.readBody(found.tree.Limits.BodyBytes) {
 		return
 	}
 	result := x.gateway.Forwarder.Do(x.r.Context(), job, x)
-	x.end(&result)
+	x.finish(&result)
 }
 
 // exchange is one request and its answer.
@@ -73,26 +73,26 @@
 	request *forward.Request
 	job     *forward.Job
 	// version and age are of the configuration that the request was read under.
-	version catalog.Version
-	age     time.Duration
+	version    catalog.Version
+	versionAge time.Duration
 }
 
 // admit makes the job of a request that the configuration allows; nil after a refusal.
-func (x *exchange) admit(found grant) *forward.Job {
-	if found.account != nil && !x.gateway.fresh() {
-		x.refuse(http.StatusServiceUnavailable, string(forward.ReasonStale), refusedAgain)
+func (x *exchange) admit(found access) *forward.Job {
+	if found.account != nil && !x.gateway.keysFresh() {
+		x.refuse(http.StatusServiceUnavailable, string(forward.ReasonStale), retryAfterUnavailable)
 		return nil
 	}
 	route := found.route
 	x.job = &forward.Job{
 		Request: x.request, Route: route, Account: found.account, Service: found.tree.Service(route.Pick(rand.Uint64())),
-		End: endOf(x.request, route),
+		End: deadlineOf(x.request, route),
 	}
 	return x.job
 }
 
-// endOf is the earlier of the request's deadline and the route's timeout.
-func endOf(r *forward.Request, route *catalog.Route) time.Time {
+// deadlineOf is the earlier of the request's deadline and the route's timeout.
+func deadlineOf(r *forward.Request, route *catalog.Route) time.Time {
 	end := r.Deadline
 	if route.Timeout > 0 {
 		if t := r.Arrived.Add(route.Timeout); end.IsZero() || t.Before(end) {
@@ -102,14 +102,14 @@
 	return end
 }
 
-// body reads the request's body; false after a refusal.
-func (x *exchange) body(limit int) bool {
+// readBody reads the request's readBody; false after a refusal.
+func (x *exchange) readBody(limit int) bool {
 	reader := x.r.Body
 	if limit > 0 {
 		reader = http.MaxBytesReader(x.w, reader, int64(limit))
 	}
 	control := http.NewResponseController(x.w)
-	_ = control.SetReadDeadline(x.readBy())
+	_ = control.SetReadDeadline(x.readDeadline())
 	body, err := io.ReadAll(reader)
 	_ = control.SetReadDeadline(time.Time{})
 	x.request.Body = body
@@ -127,26 +127,26 @@
 
 // refuse answers a request that was handed to no replica.
 func (x *exchange) refuse(status int, reason string, again time.Duration) {
-	x.fail(status, again)
+	x.writeFailure(status, again)
 	x.gateway.Meter.Count("graniteknot_refused_total", meter.Label{Name: "reason", Value: reason})
-	from := x.gateway.settingsFrom.Load()
-	behind, _ := x.gateway.newer.behind(x.gateway.Clock.Now())
+	from := x.gateway.settingsSource.Load()
+	behind, _ := x.gateway.peerVersions.behindFor(x.gateway.Clock.Now())
 	x.gateway.Log.Warn("refused", slog.String("request", string(x.request.ID)), slog.Int("status", status),
-		slog.String("reason", reason), slog.Int64("version", int64(x.version)), eventlog.Milliseconds("version_age", x.age),
-		slog.String("proved_by", string(from.by)), slog.String("read_by", string(from.reader)),
+		slog.String("reason", reason), slog.Int64("version", int64(x.version)), eventlog.Milliseconds("version_age", x.versionAge),
+		slog.String("proved_by", string(from.peer)), slog.String("read_by", string(from.reader)),
 		eventlog.Milliseconds("behind", behind),
 		slog.String("host", x.request.Host), slog.String("path", x.request.Path))
 }
 
-// fail writes a failure of the product's own.
-func (x *exchange) fail(status int, again time.Duration) {
+// writeFailure writes a failure of the product's own.
+func (x *exchange) writeFailure(status int, again time.Duration) {
 	x.gateway.Translator.Refusal(x.w.Header(), x.request.ID, again)
 	x.w.WriteHeader(status)
 }
 
-// end tells the caller how the request ended, where its answer did not, and
+// finish tells the caller how the request ended, where its answer did not, and
 // writes the line that closes its story.
-func (x *exchange) end(result *forward.Result) {
+func (x *exchange) finish(result *forward.Result) {
 	status := result.Status
 	switch {
 	case result.Outcome == graniteknot.OutcomeAnswered:
@@ -156,39 +156,39 @@
 		status = 0
 	case result.Outcome == graniteknot.OutcomeNotRun:
 		status = http.StatusServiceUnavailable
-		x.fail(status, again(result))
+		x.writeFailure(status, retryAfter(result))
 	case result.Reason == forward.ReasonTimeout:
 		status = http.StatusGatewayTimeout
-		x.fail(status, 0)
+		x.writeFailure(status, 0)
 	default:
 		status = http.StatusBadGateway
-		x.fail(status, 0)
+		x.writeFailure(status, 0)
 	}
-	x.log(result, status)
+	x.logRequest(result, status)
 	if status == 0 && result.Outcome != graniteknot.OutcomeAnswered {
 		// The connection is closed, so that what was sent does not look whole.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// again is when the caller of a request that did not run may come back.
-func again(r *forward.Result) time.Duration {
+// retryAfter is when the caller of a request that did not run may come back.
+func retryAfter(r *forward.Result) time.Duration {
 	if r.Reason == forward.ReasonBusy {
-		return time.Duration((1 + 0.4*rand.Float64()) * float64(max(r.Again, busyAgain)))
+		return time.Duration((1 + 0.4*rand.Float64()) * float64(max(r.Again, retryAfterBusy)))
 	}
 	if r.Reason == forward.ReasonQuarantined {
-		return quarantinedAgain
+		return retryAfterQuarantined
 	}
 	if r.Again > 0 {
 		// Who comes to replicas that have just rested comes spread over a while.
-		return time.Duration((1 + 0.2*rand.Float64()) * float64(max(r.Again, refusedAgain)))
+		return time.Duration((1 + 0.2*rand.Float64()) * float64(max(r.Again, retryAfterUnavailable)))
 	}
-	return refusedAgain
+	return retryAfterUnavailable
 }
 
-// log writes the line that closes a request's story.
-func (x *exchange) log(result *forward.Result, status int) {
-	x.count(result)
+// logRequest writes the line that closes a request's story.
+func (x *exchange) logRequest(result *forward.Result, status int) {
+	x.recordMetrics(result)
 	fields := []slog.Attr{
 		slog.String("request", string(x.request.ID)), slog.String("outcome", result.Outcome.String()),
 		slog.Int("status", status), slog.String("service", string(x.job.Service.Name)),
@@ -196,7 +196,7 @@
 		slog.Int("attempts", result.Attempts), slog.String("replica", result.Replica),
 		eventlog.Milliseconds("first", result.First), eventlog.Milliseconds("pause", result.Pause),
 		eventlog.Milliseconds("took", x.gateway.Clock.Since(x.request.Arrived)),
-		slog.Int64("version", int64(x.version)), eventlog.Milliseconds("version_age", x.age),
+		slog.Int64("version", int64(x.version)), eventlog.Milliseconds("version_age", x.versionAge),
 	}
 	if x.job.Account != nil {
 		fields = append(fields, slog.String("account", string(x.job.Account.Name)))
@@ -204,7 +204,7 @@
 	if result.Since > 0 {
 		fields = append(fields, eventlog.Milliseconds("since_first_try", result.Since))
 	}
-	if late := x.late(result); late != "" {
+	if late := x.lateness(result); late != "" {
 		fields = append(fields, slog.String("late", late), eventlog.Milliseconds("aim", x.job.Route.Aim),
 			eventlog.Milliseconds("pause_at", result.PauseAt))
 	}
@@ -218,9 +218,9 @@
 	x.gateway.Log.Warn("request", append(fields, slog.String("reason", string(result.Reason)))...)
 }
 
-// late tells by what an answer is not in time: its first byte, a pause, or both;
+// lateness tells by what an answer is not in time: its first byte, a pause, or both;
 // empty for one that is, or where the route says nothing.
-func (x *exchange) late(r *forward.Result) string {
+func (x *exchange) lateness(r *forward.Result) string {
 	route := x.job.Route
 	first := route.Aim > 0 && r.First > route.Aim
 	pause := route.GapAim > 0 && r.Pause > route.GapAim
@@ -240,7 +240,7 @@
 // Whole implements forward.Sink.
 func (x *exchange) Whole(status int, h http.Header, body []byte) error {
 	x.gateway.Translator.Answer(h, x.w.Header())
-	x.noType()
+	x.suppressContentType()
 	x.w.WriteHeader(status)
 	_, err := x.w.Write(body)
 	return err
@@ -249,13 +249,13 @@
 // Begin implements forward.Sink.
 func (x *exchange) Begin(status int, h http.Header) error {
 	x.gateway.Translator.Answer(h, x.w.Header())
-	x.noType()
+	x.suppressContentType()
 	x.w.WriteHeader(status)
 	return nil
 }
 
-// noType keeps net/http from guessing a type that the replica did not give.
-func (x *exchange) noType() {
+// suppressContentType keeps net/http from guessing a type that the replica did not give.
+func (x *exchange) suppressContentType() {
 	if _, given := x.w.Header()["Content-Type"]; !given {
 		x.w.Header()["Content-Type"] = nil
 	}
@@ -269,9 +269,9 @@
 	return http.NewResponseController(x.w).Flush()
 }
 
-// readBy is when a connection's reads end at the latest; connections wait by the steady
+// readDeadline is when a connection's reads end at the latest; connections wait by the steady
 // clock. Zero is no bound.
-func (x *exchange) readBy() time.Time {
+func (x *exchange) readDeadline() time.Time {
 	if x.job.End.IsZero() {
 		return time.Time{}
 	}
--- a/internal/core/gateway/servers.go
+++ b/internal/core/gateway/servers.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// headTime bounds the head of a request where the configuration does not.
-	headTime = 5 * time.Second
-	// idleTime is how long a connection rests where the configuration does not
+	// defaultHeaderTimeout bounds the head of a request where the configuration does not.
+	defaultHeaderTimeout = 5 * time.Second
+	// defaultIdleTimeout is how long a connection rests where the configuration does not
 	// say.
-	idleTime = time.Minute
+	defaultIdleTimeout = time.Minute
 )
 
 // servers takes the connections at a gateway's addresses. A change of the
@@ -29,26 +29,26 @@
 
 	mu sync.Mutex
 	// handler answers callers' requests.
-	handler http.Handler
-	limits  catalog.Limits
-	current *http.Server
-	inlet   *inlet
-	all     []*http.Server
-	open    []net.Listener
-	group   group.Group
+	handler        http.Handler
+	limits         catalog.Limits
+	current        *http.Server
+	callerListener *connListener
+	httpServers    []*http.Server
+	listeners      []net.Listener
+	group          group.Group
 }
 
-// requests begins to take callers' connections.
-func (s *servers) requests(ctx context.Context, a graniteknot.Address, h http.Handler) error {
+// serveCallers begins to take callers' connections.
+func (s *servers) serveCallers(ctx context.Context, a graniteknot.Address, h http.Handler) error {
 	listener, err := s.listen(ctx, a)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	s.handler = h
-	s.renew()
+	s.startServer()
 	s.mu.Unlock()
-	s.group.Go(func(context.Context) { s.accept(listener) })
+	s.group.Go(func(context.Context) { s.acceptCallers(listener) })
 	return nil
 }
 
@@ -59,65 +59,65 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open = append(s.open, listener)
+	s.listeners = append(s.listeners, listener)
 	return listener, nil
 }
 
-func (s *servers) accept(l net.Listener) {
+func (s *servers) acceptCallers(l net.Listener) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
 			return
 		}
 		s.mu.Lock()
-		in := s.inlet
+		in := s.callerListener
 		s.mu.Unlock()
-		in.put(conn)
+		in.deliver(conn)
 	}
 }
 
-// limit takes new limits into force.
-func (s *servers) limit(l catalog.Limits) {
+// setLimits takes new limits into force.
+func (s *servers) setLimits(l catalog.Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.handler == nil || l == s.limits {
 		return
 	}
 	s.limits = l
-	s.renew()
+	s.startServer()
 }
 
-// renew begins a server with the limits in force; called with the lock held.
-func (s *servers) renew() {
+// startServer begins a server with the limits in force; called with the lock held.
+func (s *servers) startServer() {
 	server := &http.Server{
 		Handler: s.handler, MaxHeaderBytes: s.limits.HeaderBytes,
-		ReadHeaderTimeout: orTime(s.limits.HeaderTime, headTime), IdleTimeout: orTime(s.limits.IdleTime, idleTime),
-		ErrorLog: log.New(discard{}, "", 0),
+		ReadHeaderTimeout: orDefault(s.limits.HeaderTime, defaultHeaderTimeout), IdleTimeout: orDefault(s.limits.IdleTime, defaultIdleTimeout),
+		ErrorLog: log.New(discardLog{}, "", 0),
 	}
-	in := &inlet{conns: make(chan net.Conn), done: make(chan struct{})}
-	s.current, s.inlet = server, in
-	s.all = append(s.all, server)
+	in := &connListener{conns: make(chan net.Conn), done: make(chan struct{})}
+	s.current, s.callerListener = server, in
+	s.httpServers = append(s.httpServers, server)
 	s.group.Go(func(context.Context) { _ = server.Serve(in) })
 }
 
-// plain serves a handler at an address.
-func (s *servers) plain(ctx context.Context, a graniteknot.Address, h http.Handler) error {
+// serveHandler serves a handler at an address.
+func (s *servers) serveHandler(ctx context.Context, a graniteknot.Address, h http.Handler) error {
 	listener, err := s.listen(ctx, a)
 	if err != nil {
 		return err
 	}
-	server := &http.Server{Handler: h, ReadHeaderTimeout: headTime, IdleTimeout: idleTime, ErrorLog: log.New(discard{}, "", 0)}
+	server := &http.Server{Handler: h, ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout, ErrorLog: log.New(discardLog{}, "", 0)}
 	s.mu.Lock()
-	s.all = append(s.all, server)
+	s.httpServers = append(s.httpServers, server)
 	s.mu.Unlock()
 	s.group.Go(func(context.Context) { _ = server.Serve(listener) })
 	return nil
 }
 
-// close lets the open requests end until ctx is done, then breaks them off.
-func (s *servers) close(ctx context.Context) {
+// shutdown lets the open requests end until ctx is done, then breaks them off.
+func (s *servers) shutdown(ctx context.Context) {
 	s.mu.Lock()
-	all, open, in := s.all, s.open, s.inlet
+	all, open, in := s.httpServers, s.listeners, s.callerListener
 	s.mu.Unlock()
 	for _, l := range open {
 		_ = l.Close()
@@ -137,16 +137,16 @@
 	s.group.Wait()
 }
 
-func orTime(v, fallback time.Duration) time.Duration {
+func orDefault(v, fallback time.Duration) time.Duration {
 	if v > 0 {
 		return v
 	}
 	return fallback
 }
 
-// discard drops what net/http says of broken connections, which callers cause
+// discardLog drops what net/http says of broken connections, which callers cause
 // at will.
-type discard struct{}
+type discardLog struct{}
 
 // Write implements io.Writer.
-func (discard) Write(b []byte) (int, error) { return len(b), nil }
+func (discardLog) Write(b []byte) (int, error) { return len(b), nil }
--- a/internal/core/gateway/share.go
+++ b/internal/core/gateway/share.go
@@ -22,73 +22,73 @@
 // the read that proved them. It reads them as if the store had returned them then.
 
 const (
-	// askSettingsPart and askReplicasPart ask for a part of the records.
-	askSettingsPart presence.Kind = 18
-	askReplicasPart presence.Kind = 19
+	// querySettingsPart and askReplicasPart ask for a part of the records.
+	querySettingsPart presence.Kind = 18
+	queryReplicasPart presence.Kind = 19
 )
 
-// shared holds the records as the store gave them, for other gateways. The zero
+// recordCache holds the records as the store gave them, for other gateways. The zero
 // value holds none.
-type shared struct {
+type recordCache struct {
 	mu       sync.Mutex
 	settings []graniteknot.KeyedRecord
 	replicas map[string]graniteknot.KeyedRecord
 	// packed are the packs that were last begun to be sent, by kind.
 	packed map[presence.Kind]packedRecords
-	// editions count the changes of the records, by kind.
-	editions map[presence.Kind]uint64
-	// settingsShelf and replicasShelf have the packs that others are taking.
-	settingsShelf, replicasShelf presence.Shelf
+	// revisions count the changes of the records, by kind.
+	revisions map[presence.Kind]uint64
+	// settingsPacks and replicasPacks have the packs that others are taking.
+	settingsPacks, replicasPacks presence.Shelf
 }
 
 // packedRecords are packed records of an edition.
 type packedRecords struct {
 	presence.Packed
 
-	edition uint64
+	revision uint64
 }
 
-func (s *shared) putSettings(r graniteknot.KeyedRecord) {
+func (s *recordCache) putSettings(r graniteknot.KeyedRecord) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.settings = []graniteknot.KeyedRecord{r}
-	s.changed(askSettingsPart)
+	s.bumpRevision(querySettingsPart)
 }
 
-func (s *shared) putReplica(r graniteknot.KeyedRecord) {
+func (s *recordCache) putReplica(r graniteknot.KeyedRecord) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.replicas == nil {
 		s.replicas = map[string]graniteknot.KeyedRecord{}
 	}
 	s.replicas[r.Key] = r
-	s.changed(askReplicasPart)
+	s.bumpRevision(queryReplicasPart)
 }
 
-func (s *shared) dropReplica(key string) {
+func (s *recordCache) dropReplica(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.replicas, key)
-	s.changed(askReplicasPart)
+	s.bumpRevision(queryReplicasPart)
 }
 
-// changed counts a change of a kind of records; called with the lock held.
-func (s *shared) changed(kind presence.Kind) {
-	if s.editions == nil {
-		s.editions = map[presence.Kind]uint64{}
+// bumpRevision counts a change of a kind of records; called with the lock held.
+func (s *recordCache) bumpRevision(kind presence.Kind) {
+	if s.revisions == nil {
+		s.revisions = map[presence.Kind]uint64{}
 	}
-	s.editions[kind]++
+	s.revisions[kind]++
 }
 
 // pack returns the records of a kind.
-func (s *shared) pack(kind presence.Kind) (presence.Packed, error) {
+func (s *recordCache) pack(kind presence.Kind) (presence.Packed, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if known, ok := s.packed[kind]; ok && known.edition == s.editions[kind] {
+	if known, ok := s.packed[kind]; ok && known.revision == s.revisions[kind] {
 		return known.Packed, nil
 	}
 	list := s.settings
-	if kind == askReplicasPart {
+	if kind == queryReplicasPart {
 		list = slices.SortedFunc(maps.Values(s.replicas), func(a, b graniteknot.KeyedRecord) int { return cmp.Compare(a.Key, b.Key) })
 	}
 	out, err := presence.Pack(list)
@@ -98,41 +98,41 @@
 	if s.packed == nil {
 		s.packed = map[presence.Kind]packedRecords{}
 	}
-	s.packed[kind] = packedRecords{out, s.editions[kind]}
+	s.packed[kind] = packedRecords{out, s.revisions[kind]}
 	return out, nil
 }
 
 // part answers another gateway's question for a part.
-func (s *shared) part(kind presence.Kind, body []byte) ([]byte, error) {
-	shelf := &s.settingsShelf
-	if kind == askReplicasPart {
-		shelf = &s.replicasShelf
+func (s *recordCache) part(kind presence.Kind, body []byte) ([]byte, error) {
+	shelf := &s.settingsPacks
+	if kind == queryReplicasPart {
+		shelf = &s.replicasPacks
 	}
 	return shelf.Part(body, func() (presence.Packed, error) { return s.pack(kind) })
 }
 
-// settingsElsewhere takes a newer configuration from a gateway that has one, where
+// fetchSettingsFromPeer takes a newer configuration from a gateway that has one, where
 // the store does not answer; false when none has.
-func (g *Gateway) settingsElsewhere(ctx context.Context) bool {
+func (g *Gateway) fetchSettingsFromPeer(ctx context.Context) bool {
 	known := uint64(0)
 	if tree, _ := g.Catalog.Current(g.Clock.Now()); tree != nil {
 		known = uint64(tree.Version)
 	}
 	newer := func(state uint64) bool { return state > known }
-	return g.elsewhere(ctx, askSettings, askSettingsPart, newer, g.handSettings)
+	return g.fetchFromPeers(ctx, querySettings, querySettingsPart, newer, g.applyPeerSettings)
 }
 
-// replicasElsewhere takes the replicas' records from a gateway that knows others.
-func (g *Gateway) replicasElsewhere(ctx context.Context) bool {
+// fetchReplicasFromPeer takes the replicas' records from a gateway that knows others.
+func (g *Gateway) fetchReplicasFromPeer(ctx context.Context) bool {
 	other := func(state uint64) bool { return state != uint64(g.Fleet.Digest()) }
-	return g.elsewhere(ctx, askReplicas, askReplicasPart, other, func(records []graniteknot.KeyedRecord, at time.Time, _ source) {
-		g.handReplicas(records, at)
+	return g.fetchFromPeers(ctx, queryReplicas, queryReplicasPart, other, func(records []graniteknot.KeyedRecord, at time.Time, _ recordSource) {
+		g.applyPeerReplicas(records, at)
 	})
 }
 
-// elsewhere asks gateways in turn for what they know, and takes the records of the
+// fetchFromPeers asks gateways in turn for what they know, and takes the records of the
 // first whose state is wanted.
-func (g *Gateway) elsewhere(ctx context.Context, stateKind, partKind presence.Kind, wanted func(uint64) bool, take func([]graniteknot.KeyedRecord, time.Time, source)) bool {
+func (g *Gateway) fetchFromPeers(ctx context.Context, stateKind, partKind presence.Kind, wanted func(uint64) bool, take func([]graniteknot.KeyedRecord, time.Time, recordSource)) bool {
 	peers := g.Members.Living(presence.RoleGateway, g.Config.Box, g.Clock.Now())
 	first := rand.IntN(max(1, len(peers)))
 	for i := range min(revalidateTries, len(peers)) {
@@ -148,7 +148,7 @@
 			continue
 		}
 		g.Log.Info("records of a peer", slog.String("peer", string(peer.Box)), slog.Int("records", len(records)), eventlog.Milliseconds("age", told.Age))
-		take(records, asked.Add(-told.Age), source{peer.Box, told.Reader})
+		take(records, asked.Add(-told.Age), recordSource{peer.Box, told.Reader})
 		return true
 	}
 	return false
--- a/internal/core/gateway/stop.go
+++ b/internal/core/gateway/stop.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// farewell is how long a leaving gateway still takes connections: callers
+	// drainDelay is how long a leaving gateway still takes connections: callers
 	// keep its address until their answers run out, and skip it once it refuses.
-	farewell = 2500 * time.Millisecond
-	// lastPart is what is left of a planned stop for breaking off what did not
+	drainDelay = 2500 * time.Millisecond
+	// abortReserve is what is left of a planned stop for breaking off what did not
 	// end.
-	lastPart = 700 * time.Millisecond
+	abortReserve = 700 * time.Millisecond
 )
 
 // Stop is a planned stop: the gateway goes out of the answers, serves what is
@@ -22,12 +22,12 @@
 func (g *Gateway) Stop(ctx context.Context) {
 	began := time.Now()
 	g.leaving.Store(true)
-	g.Log.Info("leaving", eventlog.Milliseconds("bound", g.bounds.Load().Stop))
-	g.hello()
-	delay.For(ctx, farewell)
-	bounded, cancel := context.WithDeadline(ctx, began.Add(g.bounds.Load().Stop-lastPart))
+	g.Log.Info("leaving", eventlog.Milliseconds("bound", g.reloadable.Load().Stop))
+	g.sendHeartbeat()
+	delay.For(ctx, drainDelay)
+	bounded, cancel := context.WithDeadline(ctx, began.Add(g.reloadable.Load().Stop-abortReserve))
 	defer cancel()
-	g.servers.close(bounded)
+	g.servers.shutdown(bounded)
 	g.group.Stop()
 	g.Forwarder.Stop()
 	g.socket.Close()
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -126,12 +126,12 @@
 	},
 	{
 		Name: "quarantine's records are not written again", File: "internal/core/gateway/quarantine.go",
-		Old: "\tg.ward.renew()\n", New: "",
+		Old: "\tg.quarantineReplication.resetStored()\n", New: "",
 		Package: "internal/core/gateway", Test: "TestOwnRecordsAreWrittenAgain", Says: "the request has a record again",
 	},
 	{
-		Name: "nobody takes newer settings than the store shows", File: "internal/core/gateway/newer.go",
-		Old: "\tif news {\n\t\twake(g.newerWake)\n", New: "\tif news && false {\n\t\twake(g.newerWake)\n",
+		Name: "nobody takes newer settings than the store shows", File: "internal/core/gateway/peer_versions.go",
+		Old: "\tif news {\n\t\twake(g.peerVersionWake)\n", New: "\tif news && false {\n\t\twake(g.peerVersionWake)\n",
 		Package: "internal/core/gateway", Test: "TestVersionsAreInForceInTimeThoughReadersAreTurnedAway", Says: "came into force",
 	},
 	{
@@ -212,12 +212,12 @@
 	},
 	{
 		Name: "a gateway that is behind refuses", File: "internal/core/gateway/refusal.go",
-		Old: "return age < proofAge && !g.behind()", New: "return age < proofAge",
+		Old: "return age < maxConfirmedAge && !g.isBehind()", New: "return age < maxConfirmedAge",
 		Package: "internal/core/gateway", Test: "TestNoRefusalByAVersionThatIsKnownToBeOld", Says: "answered 401",
 	},
 	{
 		Name: "a gateway refuses by an old proof", File: "internal/core/gateway/refusal.go",
-		Old: "return age < proofAge && ", New: "return age < 1000*proofAge && ",
+		Old: "return age < maxConfirmedAge && ", New: "return age < 1000*maxConfirmedAge && ",
 		Package: "internal/core/gateway", Test: "TestNoRefusalWithoutProof", Says: "answered 401",
 	},
 	{
@@ -240,7 +240,7 @@
 		Package: "internal/core/watch", Test: "TestSlowStoreIsNotLost", Says: "not lost",
 	},
 	{
-		Name: "a gateway that starts believes a store that is behind", File: "internal/core/gateway/follow.go", Old: "\tg.askBeforeFirst(newest.Version)\n", New: "",
+		Name: "a gateway that starts believes a store that is behind", File: "internal/core/gateway/follow.go", Old: "\tg.checkPeersForNewer(newest.Version)\n", New: "",
 		Package: "internal/core/gateway", Test: "TestStartAfterADrillUsesNoOlderConfiguration", Says: "taken away",
 	},
 }
