--- a/internal/core/gateway/conn_listener.go
+++ b/internal/core/gateway/conn_listener.go
@@ -5,35 +5,35 @@
 	"sync"
 )
 
-// connListener is a listener that is given its connections.
+// connListener is a net.Listener whose connections are passed to deliver.
 type connListener struct {
 	conns chan net.Conn
 	done  chan struct{}
 	once  sync.Once
 }
 
-// deliver hands a connection over.
-func (i *connListener) deliver(c net.Conn) {
+// deliver passes a connection to Accept, or closes it if the listener is closed.
+func (l *connListener) deliver(c net.Conn) {
 	select {
-	case i.conns <- c:
-	case <-i.done:
+	case l.conns <- c:
+	case <-l.done:
 		_ = c.Close()
 	}
 }
 
 // Accept implements net.Listener.
-func (i *connListener) Accept() (net.Conn, error) {
+func (l *connListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-i.conns:
+	case c := <-l.conns:
 		return c, nil
-	case <-i.done:
+	case <-l.done:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close implements net.Listener.
-func (i *connListener) Close() error {
-	i.once.Do(func() { close(i.done) })
+func (l *connListener) Close() error {
+	l.once.Do(func() { close(l.done) })
 	return nil
 }
 
--- a/internal/core/gateway/doc.go
+++ b/internal/core/gateway/doc.go
@@ -1,5 +1,5 @@
-// Package gateway is the process on an entry box that takes callers' requests
-// straight to targets: it answers which addresses to use, knows the deployment
-// from the platform's store, and hands requests to package forward. The words of
-// the platform are left to a Translator.
+// Package gateway implements the gateway process on an entry box, which sends callers'
+// requests straight to targets. It answers address queries, follows the configuration and the
+// replicas in the platform's store, and forwards requests through package forward. A
+// Translator converts between the platform's formats and the product's.
 package gateway
--- a/internal/core/gateway/gateway.go
+++ b/internal/core/gateway/gateway.go
@@ -25,37 +25,36 @@
 )
 
 const (
-	// keyMargin is taken from the age that a configuration may have, for clocks
-	// that run a little apart. Nothing more is needed: the age counts from the
-	// start of the read that proved the configuration, and a key that was taken
-	// away since was taken away after that.
+	// keyMargin is subtracted from the maximum age of a configuration to allow for clock rate
+	// differences between machines. No more is needed: the age counts from the start of the read
+	// that confirmed the configuration, and any key revoked since was revoked after that.
 	keyMargin = 100 * time.Millisecond
-	// gatewayHeadroom is how many more gateways may come than are known, before
-	// the connections and retries of all are divided anew.
+	// gatewayHeadroom is how many gateways may join before the connections and retries are divided
+	// again among all gateways.
 	gatewayHeadroom = 3
-	// connShare is the part of a replica's connections that the gateways use.
+	// connShare is the fraction of a replica's connections that the gateways use.
 	connShare = 0.8
-	// sweepPeriod is how often connections that rested too long are closed.
+	// sweepPeriod is the interval at which idle connections are closed.
 	sweepPeriod = time.Second
 )
 
-// Options are what a Gateway is made of.
+// Options are the settings and dependencies of a Gateway.
 type Options struct {
 	Config     *directconf.Config
 	Store      graniteknot.KeyedStore
 	Translator Translator
 	Log        *eventlog.Log
-	// LogWriter is the log's writer; nil when nothing counts what it drops.
+	// LogWriter is the writer behind Log, asked for its count of dropped lines; may be nil.
 	LogWriter   *eventlog.Writer
 	Meter       *meter.Meter
 	Incarnation graniteknot.Incarnation
-	// Clock is what ages, leases and deadlines are decided by.
+	// Clock measures ages, leases and deadlines.
 	Clock graniteknot.AgeClock
-	// Network opens the gateway's addresses; nil for the machine's own.
+	// Network opens the gateway's listeners; nil means the host's network.
 	Network graniteknot.Network
 }
 
-// Gateway is the process. Make it with New.
+// Gateway is a gateway process. Create it with New.
 type Gateway struct {
 	Options
 	Catalog   catalog.Holder
@@ -64,91 +63,92 @@
 	Members   presence.View
 	Forwarder forward.Forwarder
 	Health    watch.Health
-	// Quarantine knows the requests that are kept from replicas.
+	// Quarantine holds the requests that are not sent to replicas.
 	Quarantine quarantine.Table
-	// Limits deals out the limits of which this gateway is the home.
+	// Limits grants permits for the rate limits that this gateway owns.
 	Limits quota.Home
 
 	socket *presence.Socket
-	// discovery learns who is known from relays.
+	// discovery learns of other processes from gateways.
 	discovery presence.Census
-	// membersLoaded is closed once the members are known, or can't be read; before that unknown is set
-	// where the store has no record of this gateway.
+	// membersLoaded is closed once the member records were read, or reading them failed.
+	// unregistered is set before, if the store has no record of this gateway.
 	membersLoaded chan struct{}
 	unregistered  bool
-	// configNeeded is closed when a request first has to wait for the configuration.
+	// configNeeded is closed when the first request has to wait for a configuration.
 	configNeeded     chan struct{}
 	configNeededOnce sync.Once
 	startedAt        time.Time
 	servers          servers
 	group            group.Group
-	// freshness knows how old the replicas' records are.
+	// freshness tracks how recently the replica records were confirmed.
 	freshness freshness
-	// recordCache are the records that other gateways may take.
+	// recordCache holds the store records that other gateways can fetch.
 	recordCache recordCache
-	// limitsPending tells that something of limits is to be sent.
+	// limitsPending signals that limit messages are waiting to be sent.
 	limitsPending chan struct{}
-	// quarantinePacks has packs of the quarantine that others are taking.
+	// quarantinePacks holds the quarantine snapshots that other gateways are fetching.
 	quarantinePacks presence.Shelf
-	// quarantineReplication tells and keeps what the quarantine knows.
+	// quarantineReplication tracks which quarantine entries peers and the store have.
 	quarantineReplication replicationState
-	// bundler collects what this gateway passes on as a relay; relaying tells that it is
-	// one, and relayed when it last told all others so.
+	// bundler collects what this gateway forwards as a relay. relaying is set while it is one, and
+	// relayAnnouncedAt is when it last announced that to all processes.
 	bundler          presence.Bundler
 	relaying         atomic.Bool
 	relayAnnouncedAt time.Time
-	// leaving is set once a planned stop has begun.
+	// leaving is set once a graceful shutdown has begun.
 	leaving atomic.Bool
-	// reloadable are the settings that a reload changes; the rest of Config is fixed
-	// for the life of the process.
+	// reloadable holds the settings that Reload replaces; the rest of Config is fixed for the life
+	// of the process.
 	reloadable atomic.Pointer[directconf.Config]
-	// malformedLog tells of records that can't be used.
+	// malformedLog logs malformed records at a limited rate.
 	malformedLog eventlog.Sparse
-	// firstVersionChecked tells that others were asked before the first configuration came into force;
-	// the settings' follower alone uses it.
+	// firstVersionChecked is set once peers were asked for a newer configuration than the first
+	// one read from the store. Used only by the goroutine that follows the settings.
 	firstVersionChecked bool
-	// storeLost is what was last told of the store; lostChanges counts what was heard of others.
+	// storeLost is the last announced state of the store for this gateway; seenLossChanges is the
+	// last seen count of such changes at other gateways.
 	storeLost       atomic.Bool
 	seenLossChanges atomic.Uint64
-	// settingsWake and replicasWake end the pauses of those that follow the store; peerVersionWake
-	// tells that another gateway has a newer configuration, relayWake that the zone is to be
-	// told something at once.
+	// settingsWake and replicasWake interrupt the pauses of the store followers. peerVersionWake
+	// signals that another gateway has a newer configuration, relayWake that a bundle is to be
+	// relayed at once.
 	settingsWake, replicasWake, peerVersionWake, relayWake chan struct{}
-	// peerVersions knows of the newest configuration that others have; settingsFrom is the source of
-	// the last proof of this one's.
+	// peerVersions tracks the newest configuration version of the other gateways; settingsSource
+	// is where the last confirmation of this gateway's configuration came from.
 	peerVersions   peerVersions
 	settingsSource atomic.Pointer[recordSource]
-	// keysStale tells that the last look found the configuration too old.
+	// keysStale is set if the last check found the configuration too old to trust keys.
 	keysStale atomic.Bool
 }
 
-// New returns a gateway that does nothing until Start.
-func New(p Options) *Gateway {
-	if p.Network == nil {
-		p.Network = hostnet.Network{}
+// New returns a Gateway that does nothing until Start.
+func New(o Options) *Gateway {
+	if o.Network == nil {
+		o.Network = hostnet.Network{}
 	}
-	p.Store = &watch.Metered{Store: p.Store, Meter: p.Meter}
+	o.Store = &watch.Metered{Store: o.Store, Meter: o.Meter}
 	g := &Gateway{
-		Options: p, membersLoaded: make(chan struct{}), configNeeded: make(chan struct{}), limitsPending: make(chan struct{}, 1),
+		Options: o, membersLoaded: make(chan struct{}), configNeeded: make(chan struct{}), limitsPending: make(chan struct{}, 1),
 		settingsWake: make(chan struct{}, 1), replicasWake: make(chan struct{}, 1),
 		peerVersionWake: make(chan struct{}, 1), relayWake: make(chan struct{}, 1),
 	}
-	g.reloadable.Store(p.Config)
+	g.reloadable.Store(o.Config)
 	g.settingsSource.Store(&recordSource{})
-	g.servers.network = p.Network
-	g.Health.Log = p.Log
-	g.Fleet.Clock, g.Pool.Clock = p.Clock, p.Clock
+	g.servers.network = o.Network
+	g.Health.Log = o.Log
+	g.Fleet.Clock, g.Pool.Clock = o.Clock, o.Clock
 	g.Forwarder = forward.Forwarder{
-		Dialect: p.Translator, Pool: &g.Pool, Fleet: &g.Fleet, Log: p.Log, Meter: p.Meter, Zone: p.Config.Zone,
-		Clock: p.Clock, Fresh: g.keysFresh, ConnLimit: g.connLimit, Quarantine: &g.Quarantine,
+		Dialect: o.Translator, Pool: &g.Pool, Fleet: &g.Fleet, Log: o.Log, Meter: o.Meter, Zone: o.Config.Zone,
+		Clock: o.Clock, Fresh: g.keysFresh, ConnLimit: g.connLimit, Quarantine: &g.Quarantine,
 		Budgets: &forward.Budgets{Percent: g.retryPercent, Burst: g.retryBurst},
 	}
 	g.Quarantine.Changed = g.onQuarantineChange
-	g.Fleet.OnOutbox(quota.BoxOf(p.Config.Box), g.signalLimits)
+	g.Fleet.OnOutbox(quota.BoxOf(o.Config.Box), g.signalLimits)
 	return g
 }
 
-// Start opens the addresses and begins the gateway's own work.
+// Start opens the listeners and starts the background loops.
 func (g *Gateway) Start(ctx context.Context) error {
 	c := g.Config
 	conn, err := g.Network.ListenPacket(ctx, c.Peers)
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// startLoops begins the loops.
+// startLoops starts the background loops.
 func (g *Gateway) startLoops() {
 	g.group.Go(g.followSettings)
 	g.group.Go(g.followReplicas)
@@ -191,7 +191,7 @@
 	g.runEvery(quarantineWritePeriod, g.maintainQuarantine)
 }
 
-// runEvery calls step at a period until the gateway stops.
+// runEvery calls step periodically until the gateway stops.
 func (g *Gateway) runEvery(period time.Duration, step func()) {
 	g.group.Go(func(ctx context.Context) { delay.Every(ctx, period, func(context.Context) { step() }) })
 }
@@ -204,7 +204,7 @@
 	}
 }
 
-// ready tells whether the gateway takes requests.
+// ready reports whether the gateway accepts requests.
 func (g *Gateway) ready() bool {
 	if g.leaving.Load() {
 		return false
@@ -215,16 +215,16 @@
 
 func (g *Gateway) maxKeyAge() time.Duration { return g.reloadable.Load().KeyAge - keyMargin }
 
-// keysFresh tells whether a key may be trusted now.
+// keysFresh reports whether the configuration is recent enough to trust a key.
 func (g *Gateway) keysFresh() bool {
 	tree, age := g.Catalog.Current(g.Clock.Exact())
 	return tree != nil && g.trustsKeys(tree, age)
 }
 
-// trustsKeys tells whether a key may be trusted under a tree that was last proved to
-// be the newest so long ago. Strict operators have keys refused from a certain
-// age on, since one may have been taken away. Others have them served on, but not
-// once another gateway is known to have a newer tree.
+// trustsKeys reports whether keys may be trusted under a configuration that was last confirmed as
+// the newest so long ago. Without KeysUnproved, keys are refused once that is too long, since a
+// key may have been revoked meanwhile. With it they are accepted until another gateway is known to
+// have a newer configuration.
 func (g *Gateway) trustsKeys(tree *catalog.Tree, age time.Duration) bool {
 	if age < g.maxKeyAge() {
 		return true
@@ -232,7 +232,7 @@
 	return g.reloadable.Load().KeysUnproved && uint64(tree.Version) >= g.Members.NewestSettings()
 }
 
-// gatewayCount is how many may send requests, those still to come included.
+// gatewayCount is the number of gateways that limits are divided by, including gatewayHeadroom.
 func (g *Gateway) gatewayCount() int {
 	return len(g.Members.Members(presence.RoleGateway, g.Config.Box)) + 1 + gatewayHeadroom
 }
@@ -244,8 +244,8 @@
 	return max(1, int(connShare*float64(s.MaxConnections))/g.gatewayCount())
 }
 
-// retryShare is the part of the retry budget that is used, since windows slide
-// and the gateways do not see each other's retries.
+// retryShare is the fraction of the retry budget that is used: its windows slide, and gateways do
+// not see each other's retries.
 const retryShare = 0.7
 
 func (g *Gateway) retryPercent() int64 { return int64(retryShare * g.reloadable.Load().RetryPercent) }
--- a/internal/core/gateway/listen.go
+++ b/internal/core/gateway/listen.go
@@ -11,22 +11,22 @@
 	"graniteknot.org/go/internal/core/presence"
 )
 
-// maxAddresses is the most addresses that callers take from one answer.
+// maxAddresses is the most addresses that callers accept in one answer.
 const maxAddresses = 64
 
-// addressTTLShare is the part of the longest life of an address answer that is
-// given: some callers keep answers for three times as long.
+// addressTTLShare is the fraction of the configured answer lifetime that an address answer is
+// given, because some callers keep answers for three times as long as they are told.
 const addressTTLShare = 0.6
 
-// listen opens the gateway's addresses.
+// listen opens the gateway's listeners.
 func (g *Gateway) listen(ctx context.Context) error {
 	c := g.Config
 	if err := g.servers.serveCallers(ctx, c.Requests, http.HandlerFunc(g.serve)); err != nil {
 		return err
 	}
-	ready := mux.NewRouter()
-	ready.HandleFunc(g.Translator.ReadyPath(), g.serveReadiness).Methods(http.MethodGet)
-	if err := g.servers.serveHandler(ctx, c.Readiness, ready); err != nil {
+	readiness := mux.NewRouter()
+	readiness.HandleFunc(g.Translator.ReadyPath(), g.serveReadiness).Methods(http.MethodGet)
+	if err := g.servers.serveHandler(ctx, c.Readiness, readiness); err != nil {
 		return err
 	}
 	directory := mux.NewRouter()
@@ -53,14 +53,14 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	life := time.Duration(addressTTLShare * float64(g.reloadable.Load().AnswerLife))
-	if err := g.Translator.Addresses(w, list, life); err != nil {
-		g.Log.Warn("address answer: " + err.Error())
+	ttl := time.Duration(addressTTLShare * float64(g.reloadable.Load().AnswerLife))
+	if err := g.Translator.Addresses(w, list, ttl); err != nil {
+		g.Log.Warn("address answer not written: " + err.Error())
 	}
 }
 
-// addresses lists the gateways that take requests. One that is not ready itself
-// and hears of no other names those it knows.
+// addresses lists the gateways that accept requests. A gateway that is not ready itself and hears
+// of no ready one lists all it knows.
 func (g *Gateway) addresses(now time.Time) []graniteknot.Address {
 	var out []graniteknot.Address
 	if g.ready() {
@@ -73,7 +73,7 @@
 	return out[:min(len(out), maxAddresses)]
 }
 
-// appendRequestAddresses appends where gateways take requests, of those that say so.
+// appendRequestAddresses appends the request addresses of those members that have one.
 func appendRequestAddresses(out []graniteknot.Address, members []presence.Member) []graniteknot.Address {
 	for _, m := range members {
 		if m.Requests != "" {
--- a/internal/core/gateway/metrics.go
+++ b/internal/core/gateway/metrics.go
@@ -10,13 +10,13 @@
 	"graniteknot.org/go/internal/core/presence"
 )
 
-// serveMetrics writes the process's figures in text form.
+// serveMetrics writes the process's metrics in text format.
 func (g *Gateway) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	g.Meter.Write(w)
 }
 
-// registerGauges has the gateway's state read whenever its figures are told.
+// registerGauges registers the gauges of the gateway's state.
 func (g *Gateway) registerGauges() {
 	g.Meter.Gauge("graniteknot_configuration_age_seconds", func() float64 {
 		_, age := g.Catalog.Current(g.Clock.Now())
@@ -44,7 +44,7 @@
 	g.Meter.Gauge("graniteknot_log_lines_dropped", func() float64 { return float64(g.droppedLogLines()) })
 }
 
-// droppedLogLines counts the log lines that did not fit.
+// droppedLogLines returns how many log lines were dropped because the log's buffer was full.
 func (g *Gateway) droppedLogLines() uint64 {
 	if g.LogWriter == nil {
 		return 0
@@ -52,7 +52,7 @@
 	return g.LogWriter.Dropped()
 }
 
-// registerServiceGauges adds the gauges of the services in a configuration.
+// registerServiceGauges registers the gauges of a configuration's services.
 func (g *Gateway) registerServiceGauges(tree *catalog.Tree) {
 	for _, s := range tree.Services() {
 		label := meter.Label{Name: "service", Value: string(s.Name)}
@@ -64,7 +64,7 @@
 	}
 }
 
-// recordMetrics takes a request's end into the figures.
+// recordMetrics records the result of a request in the metrics.
 func (x *exchange) recordMetrics(r *forward.Result) {
 	m := x.gateway.Meter
 	kind := meter.Label{Name: "kind", Value: x.job.Route.Kind.String()}
--- a/internal/core/gateway/refusal.go
+++ b/internal/core/gateway/refusal.go
@@ -10,32 +10,32 @@
 	"graniteknot.org/go/internal/delay"
 )
 
-// A refusal for want of a route or an account says that no configuration in force has it. So it
-// is given only by a configuration that was proved of late, and while no other gateway is
-// known to have a newer one.
+// A request is refused for lack of a route or an account only if the configuration was confirmed
+// recently and no other gateway is known to have a newer one; otherwise a route or key that was
+// just added would be refused.
 
 const (
-	// denialWait is how long a request waits for a newer configuration, or for the proof that
-	// there is none, before it is told that it was not run.
+	// denialWait is how long a request waits for a newer configuration, or for confirmation that
+	// there is none, before it is refused as not run.
 	denialWait = 300 * time.Millisecond
-	// denialPollPeriod is the time between two looks meanwhile.
+	// denialPollPeriod is the interval at which the configuration is checked meanwhile.
 	denialPollPeriod = 5 * time.Millisecond
 )
 
-// denial is why a request is refused by the configuration; the zero value is no denial.
+// denial is why the configuration refuses a request; the zero value means that it does not.
 type denial struct {
 	status int
 	reason string
 }
 
-// access is what a configuration allows a request.
+// access is what the configuration gives a request access to.
 type access struct {
 	tree    *catalog.Tree
 	route   *catalog.Route
 	account *catalog.Account
 }
 
-// authorize returns what a configuration allows a request, or why it does not.
+// authorize returns the route and account of a request, or why it is refused.
 func authorize(tree *catalog.Tree, r *forward.Request) (access, denial) {
 	route := tree.Route(r.Host, r.Path)
 	if route == nil {
@@ -48,26 +48,26 @@
 	return access{tree, route, account}, denial{}
 }
 
-// maxConfirmedAge is how old the proof of a configuration may be while the store answers: two reads
-// that wait, each of which proves what was in force at its begin, and what the answer to the
-// second may take, or the questions between gateways in a large deployment.
+// maxConfirmedAge is how long ago a configuration may have been confirmed while the store answers.
+// It covers two long-polling reads, each of which confirms what was in force when it began, and
+// 400 ms for the answer to the second; in a large deployment, the queries between gateways.
 const maxConfirmedAge = max(2*settingsReadWait+400*time.Millisecond, settingsMaxAge+revalidatePause)
 
-// isNewest tells whether a configuration is, for all that is known, the isNewest.
+// isNewest reports whether a configuration confirmed so long ago is the newest one known.
 func (g *Gateway) isNewest(age time.Duration) bool {
 	return age < maxConfirmedAge && !g.isBehind()
 }
 
-// awaitNewest waits until the configuration in force is known to be the newest or allows a request;
-// false when neither is so in time.
+// awaitNewest waits until the configuration is known to be the newest or allows a request; it
+// returns false if neither happens within denialWait.
 func (g *Gateway) awaitNewest(ctx context.Context, r *forward.Request) (*catalog.Tree, time.Duration, bool) {
-	over := g.Clock.Now().Add(denialWait)
+	deadline := g.Clock.Now().Add(denialWait)
 	for first := true; ; first = false {
 		tree, age := g.Catalog.Current(g.Clock.Now())
-		if _, deny := authorize(tree, r); deny == (denial{}) || g.isNewest(age) {
+		if _, denied := authorize(tree, r); denied == (denial{}) || g.isNewest(age) {
 			return tree, age, true
 		}
-		if !g.Clock.Now().Before(over) || ctx.Err() != nil {
+		if !g.Clock.Now().Before(deadline) || ctx.Err() != nil {
 			return tree, age, false
 		}
 		if first {
@@ -78,17 +78,17 @@
 	}
 }
 
-// recheck looks again at a request that is not allowed, under a configuration that is
-// known to be the newest; false after a refusal.
+// recheck authorizes a denied request again, under a configuration that is known to be the newest;
+// it returns false after a refusal.
 func (x *exchange) recheck() (access, bool) {
-	tree, age, sure := x.gateway.awaitNewest(x.r.Context(), x.request)
+	tree, age, confirmed := x.gateway.awaitNewest(x.r.Context(), x.request)
 	x.version, x.versionAge = tree.Version, age
-	found, deny := authorize(tree, x.request)
+	granted, denied := authorize(tree, x.request)
 	switch {
-	case deny == denial{}:
-		return found, true
-	case sure:
-		x.refuse(deny.status, deny.reason, 0)
+	case denied == denial{}:
+		return granted, true
+	case confirmed:
+		x.refuse(denied.status, denied.reason, 0)
 	default:
 		x.refuse(http.StatusServiceUnavailable, "configuration-behind", retryAfterUnavailable)
 	}
--- a/internal/core/gateway/reload.go
+++ b/internal/core/gateway/reload.go
@@ -7,8 +7,7 @@
 	"graniteknot.org/go/internal/core/eventlog"
 )
 
-// Reload takes new settings into force. Addresses and names stay as they are
-// until the process starts anew.
+// Reload applies new settings. Addresses and names stay in effect until the process restarts.
 func (g *Gateway) Reload(c *directconf.Config) {
 	old := g.reloadable.Swap(c)
 	g.Log.Info("reloaded", slog.Bool("changed", *old != *c), slog.Bool("needs_restart", needsRestart(g.Config, c)),
@@ -17,9 +16,8 @@
 		slog.Float64("retry_percent", c.RetryPercent))
 }
 
-// needsRestart tells whether settings differ that are fixed for a process's
-// life.
-func needsRestart(now, next *directconf.Config) bool {
-	return now.Box != next.Box || now.Zone != next.Zone || now.Requests != next.Requests || now.Readiness != next.Readiness ||
-		now.Directory != next.Directory || now.Peers != next.Peers || now.Metrics != next.Metrics || now.Store != next.Store
+// needsRestart reports whether settings differ that are fixed for the life of a process.
+func needsRestart(current, next *directconf.Config) bool {
+	return current.Box != next.Box || current.Zone != next.Zone || current.Requests != next.Requests || current.Readiness != next.Readiness ||
+		current.Directory != next.Directory || current.Peers != next.Peers || current.Metrics != next.Metrics || current.Store != next.Store
 }
--- a/internal/core/gateway/serve.go
+++ b/internal/core/gateway/serve.go
@@ -16,18 +16,19 @@
 	"graniteknot.org/go/internal/core/meter"
 )
 
-// retryAfterUnavailable is when a caller may come back that was refused for want of
-// room, configuration or replicas.
+// retryAfterUnavailable is the retry delay given when there is no capacity, no configuration or no
+// replica.
 const retryAfterUnavailable = 300 * time.Millisecond
 
-// retryAfterBusy is when a caller may come back that was refused for want of room
-// after it had waited: sooner, it would meet the same crowd.
+// retryAfterBusy is the retry delay given when a request waited for capacity in vain; an earlier
+// retry would meet the same overload.
 const retryAfterBusy = 1800 * time.Millisecond
 
-// retryAfterQuarantined is when a caller may come back whose request ends replicas: not soon.
+// retryAfterQuarantined is the retry delay given for a request that is quarantined for crashing
+// replicas.
 const retryAfterQuarantined = time.Minute
 
-// serve takes one caller's request to its answer.
+// serve handles a caller's request.
 func (g *Gateway) serve(w http.ResponseWriter, r *http.Request) {
 	arrived := g.Clock.Now()
 	if g.leaving.Load() {
@@ -45,64 +46,65 @@
 		x.refuse(http.StatusBadRequest, "malformed", 0)
 		return
 	}
-	found, deny := authorize(tree, request)
-	if deny != (denial{}) {
-		permitted := false
-		if found, permitted = x.recheck(); !permitted {
+	granted, denied := authorize(tree, request)
+	if denied != (denial{}) {
+		allowed := false
+		if granted, allowed = x.recheck(); !allowed {
 			return
 		}
 	}
-	x.forward(found)
+	x.forward(granted)
 }
 
-// forward takes a request that the configuration allows to its answer.
-func (x *exchange) forward(found access) {
-	job := x.admit(found)
-	if job == nil || !x.readBody(found.tree.Limits.BodyBytes) {
+// forward forwards a request that the configuration allows, and finishes its response.
+func (x *exchange) forward(granted access) {
+	job := x.admit(granted)
+	if job == nil || !x.readBody(granted.tree.Limits.BodyBytes) {
 		return
 	}
 	result := x.gateway.Forwarder.Do(x.r.Context(), job, x)
 	x.finish(&result)
 }
 
-// exchange is one request and its answer.
+// exchange is a caller's request and its response.
 type exchange struct {
 	gateway *Gateway
 	w       http.ResponseWriter
 	r       *http.Request
 	request *forward.Request
 	job     *forward.Job
-	// version and age are of the configuration that the request was read under.
+	// version and versionAge describe the configuration that the request was authorized under.
 	version    catalog.Version
 	versionAge time.Duration
 }
 
-// admit makes the job of a request that the configuration allows; nil after a refusal.
-func (x *exchange) admit(found access) *forward.Job {
-	if found.account != nil && !x.gateway.keysFresh() {
+// admit returns the forwarding job of an allowed request, or nil after a refusal.
+func (x *exchange) admit(granted access) *forward.Job {
+	if granted.account != nil && !x.gateway.keysFresh() {
 		x.refuse(http.StatusServiceUnavailable, string(forward.ReasonStale), retryAfterUnavailable)
 		return nil
 	}
-	route := found.route
+	route := granted.route
 	x.job = &forward.Job{
-		Request: x.request, Route: route, Account: found.account, Service: found.tree.Service(route.Pick(rand.Uint64())),
+		Request: x.request, Route: route, Account: granted.account, Service: granted.tree.Service(route.Pick(rand.Uint64())),
 		End: deadlineOf(x.request, route),
 	}
 	return x.job
 }
 
-// deadlineOf is the earlier of the request's deadline and the route's timeout.
+// deadlineOf returns the earlier of the request's deadline and the route's timeout; zero means
+// none.
 func deadlineOf(r *forward.Request, route *catalog.Route) time.Time {
-	end := r.Deadline
+	deadline := r.Deadline
 	if route.Timeout > 0 {
-		if t := r.Arrived.Add(route.Timeout); end.IsZero() || t.Before(end) {
-			end = t
+		if t := r.Arrived.Add(route.Timeout); deadline.IsZero() || t.Before(deadline) {
+			deadline = t
 		}
 	}
-	return end
+	return deadline
 }
 
-// readBody reads the request's readBody; false after a refusal.
+// readBody reads the request's body; it returns false after a refusal.
 func (x *exchange) readBody(limit int) bool {
 	reader := x.r.Body
 	if limit > 0 {
@@ -116,8 +118,8 @@
 	if err == nil {
 		return true
 	}
-	var large *http.MaxBytesError
-	if errors.As(err, &large) {
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
 		x.refuse(http.StatusRequestEntityTooLarge, "body-too-large", 0)
 		return false
 	}
@@ -125,27 +127,26 @@
 	return false
 }
 
-// refuse answers a request that was handed to no replica.
-func (x *exchange) refuse(status int, reason string, again time.Duration) {
-	x.writeFailure(status, again)
+// refuse answers a request that was sent to no replica.
+func (x *exchange) refuse(status int, reason string, delay time.Duration) {
+	x.writeFailure(status, delay)
 	x.gateway.Meter.Count("graniteknot_refused_total", meter.Label{Name: "reason", Value: reason})
-	from := x.gateway.settingsSource.Load()
+	source := x.gateway.settingsSource.Load()
 	behind, _ := x.gateway.peerVersions.behindFor(x.gateway.Clock.Now())
 	x.gateway.Log.Warn("refused", slog.String("request", string(x.request.ID)), slog.Int("status", status),
 		slog.String("reason", reason), slog.Int64("version", int64(x.version)), eventlog.Milliseconds("version_age", x.versionAge),
-		slog.String("proved_by", string(from.peer)), slog.String("read_by", string(from.reader)),
+		slog.String("proved_by", string(source.peer)), slog.String("read_by", string(source.reader)),
 		eventlog.Milliseconds("behind", behind),
 		slog.String("host", x.request.Host), slog.String("path", x.request.Path))
 }
 
-// writeFailure writes a failure of the product's own.
-func (x *exchange) writeFailure(status int, again time.Duration) {
-	x.gateway.Translator.Refusal(x.w.Header(), x.request.ID, again)
+// writeFailure writes a failure response of the product's own.
+func (x *exchange) writeFailure(status int, delay time.Duration) {
+	x.gateway.Translator.Refusal(x.w.Header(), x.request.ID, delay)
 	x.w.WriteHeader(status)
 }
 
-// finish tells the caller how the request ended, where its answer did not, and
-// writes the line that closes its story.
+// finish reports the outcome to the caller if no response was written, and logs the request.
 func (x *exchange) finish(result *forward.Result) {
 	status := result.Status
 	switch {
@@ -166,12 +167,12 @@
 	}
 	x.logRequest(result, status)
 	if status == 0 && result.Outcome != graniteknot.OutcomeAnswered {
-		// The connection is closed, so that what was sent does not look whole.
+		// Closes the connection, so that a partial response does not look complete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// retryAfter is when the caller of a request that did not run may come back.
+// retryAfter returns the retry delay for a request that was not run.
 func retryAfter(r *forward.Result) time.Duration {
 	if r.Reason == forward.ReasonBusy {
 		return time.Duration((1 + 0.4*rand.Float64()) * float64(max(r.Again, retryAfterBusy)))
@@ -180,13 +181,13 @@
 		return retryAfterQuarantined
 	}
 	if r.Again > 0 {
-		// Who comes to replicas that have just rested comes spread over a while.
+		// The jitter spreads the retries to replicas whose rest has just ended.
 		return time.Duration((1 + 0.2*rand.Float64()) * float64(max(r.Again, retryAfterUnavailable)))
 	}
 	return retryAfterUnavailable
 }
 
-// logRequest writes the line that closes a request's story.
+// logRequest records the metrics of a finished request and writes its log line.
 func (x *exchange) logRequest(result *forward.Result, status int) {
 	x.recordMetrics(result)
 	fields := []slog.Attr{
@@ -204,8 +205,8 @@
 	if result.Since > 0 {
 		fields = append(fields, eventlog.Milliseconds("since_first_try", result.Since))
 	}
-	if late := x.lateness(result); late != "" {
-		fields = append(fields, slog.String("late", late), eventlog.Milliseconds("aim", x.job.Route.Aim),
+	if missed := x.lateness(result); missed != "" {
+		fields = append(fields, slog.String("late", missed), eventlog.Milliseconds("aim", x.job.Route.Aim),
 			eventlog.Milliseconds("pause_at", result.PauseAt))
 	}
 	if result.Outcome == graniteknot.OutcomeAnswered {
@@ -218,8 +219,8 @@
 	x.gateway.Log.Warn("request", append(fields, slog.String("reason", string(result.Reason)))...)
 }
 
-// lateness tells by what an answer is not in time: its first byte, a pause, or both;
-// empty for one that is, or where the route says nothing.
+// lateness returns which latency target of the route a response missed: "first" for the first
+// byte, "pause" for a gap in a stream, or "both"; empty if none.
 func (x *exchange) lateness(r *forward.Result) string {
 	route := x.job.Route
 	first := route.Aim > 0 && r.First > route.Aim
@@ -254,7 +255,7 @@
 	return nil
 }
 
-// suppressContentType keeps net/http from guessing a type that the replica did not give.
+// suppressContentType keeps net/http from guessing a content type that the replica did not send.
 func (x *exchange) suppressContentType() {
 	if _, given := x.w.Header()["Content-Type"]; !given {
 		x.w.Header()["Content-Type"] = nil
@@ -269,8 +270,8 @@
 	return http.NewResponseController(x.w).Flush()
 }
 
-// readDeadline is when a connection's reads end at the latest; connections wait by the steady
-// clock. Zero is no bound.
+// readDeadline converts the request's deadline to the monotonic clock that connections use; zero
+// means none.
 func (x *exchange) readDeadline() time.Time {
 	if x.job.End.IsZero() {
 		return time.Time{}
--- a/internal/core/gateway/servers.go
+++ b/internal/core/gateway/servers.go
@@ -14,21 +14,20 @@
 )
 
 const (
-	// defaultHeaderTimeout bounds the head of a request where the configuration does not.
+	// defaultHeaderTimeout bounds reading a request's header if the configuration sets no bound.
 	defaultHeaderTimeout = 5 * time.Second
-	// defaultIdleTimeout is how long a connection rests where the configuration does not
-	// say.
+	// defaultIdleTimeout bounds how long a connection stays idle if the configuration sets no
+	// bound.
 	defaultIdleTimeout = time.Minute
 )
 
-// servers takes the connections at a gateway's addresses. A change of the
-// limits begins a new http.Server, which takes the connections from then on;
-// those that are open stay with the server that took them.
+// servers accepts the connections at a gateway's addresses. When the limits change, a new
+// http.Server takes over new connections; those that are open stay with their server.
 type servers struct {
 	network graniteknot.Network
 
 	mu sync.Mutex
-	// handler answers callers' requests.
+	// handler serves callers' requests.
 	handler        http.Handler
 	limits         catalog.Limits
 	current        *http.Server
@@ -38,7 +37,7 @@
 	group          group.Group
 }
 
-// serveCallers begins to take callers' connections.
+// serveCallers starts to accept callers' connections.
 func (s *servers) serveCallers(ctx context.Context, a graniteknot.Address, h http.Handler) error {
 	listener, err := s.listen(ctx, a)
 	if err != nil {
@@ -63,6 +62,7 @@
 	return listener, nil
 }
 
+// acceptCallers passes each accepted connection to the current server.
 func (s *servers) acceptCallers(l net.Listener) {
 	for {
 		conn, err := l.Accept()
@@ -70,13 +70,13 @@
 			return
 		}
 		s.mu.Lock()
-		in := s.callerListener
+		listener := s.callerListener
 		s.mu.Unlock()
-		in.deliver(conn)
+		listener.deliver(conn)
 	}
 }
 
-// setLimits takes new limits into force.
+// setLimits applies new limits to connections accepted from now on.
 func (s *servers) setLimits(l catalog.Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,20 +87,20 @@
 	s.startServer()
 }
 
-// startServer begins a server with the limits in force; called with the lock held.
+// startServer starts a server with the current limits. The caller holds the lock.
 func (s *servers) startServer() {
 	server := &http.Server{
 		Handler: s.handler, MaxHeaderBytes: s.limits.HeaderBytes,
 		ReadHeaderTimeout: orDefault(s.limits.HeaderTime, defaultHeaderTimeout), IdleTimeout: orDefault(s.limits.IdleTime, defaultIdleTimeout),
 		ErrorLog: log.New(discardLog{}, "", 0),
 	}
-	in := &connListener{conns: make(chan net.Conn), done: make(chan struct{})}
-	s.current, s.callerListener = server, in
+	listener := &connListener{conns: make(chan net.Conn), done: make(chan struct{})}
+	s.current, s.callerListener = server, listener
 	s.httpServers = append(s.httpServers, server)
-	s.group.Go(func(context.Context) { _ = server.Serve(in) })
+	s.group.Go(func(context.Context) { _ = server.Serve(listener) })
 }
 
-// serveHandler serves a handler at an address.
+// serveHandler starts to serve a handler at an address.
 func (s *servers) serveHandler(ctx context.Context, a graniteknot.Address, h http.Handler) error {
 	listener, err := s.listen(ctx, a)
 	if err != nil {
@@ -114,19 +114,19 @@
 	return nil
 }
 
-// shutdown lets the open requests end until ctx is done, then breaks them off.
+// shutdown closes the listeners, waits for open requests until ctx is done, then aborts them.
 func (s *servers) shutdown(ctx context.Context) {
 	s.mu.Lock()
-	all, open, in := s.httpServers, s.listeners, s.callerListener
+	running, listeners, callers := s.httpServers, s.listeners, s.callerListener
 	s.mu.Unlock()
-	for _, l := range open {
+	for _, l := range listeners {
 		_ = l.Close()
 	}
-	if in != nil {
-		_ = in.Close()
+	if callers != nil {
+		_ = callers.Close()
 	}
 	var wait group.Group
-	for _, server := range all {
+	for _, server := range running {
 		wait.Go(func(context.Context) {
 			if err := server.Shutdown(ctx); err != nil {
 				_ = server.Close()
@@ -144,8 +144,8 @@
 	return fallback
 }
 
-// discardLog drops what net/http says of broken connections, which callers cause
-// at will.
+// discardLog drops the messages of net/http about broken connections, which callers could
+// otherwise flood the log with.
 type discardLog struct{}
 
 // Write implements io.Writer.
--- a/internal/core/gateway/source.go
+++ b/internal/core/gateway/source.go
@@ -4,12 +4,11 @@
 	graniteknot "graniteknot.org/go"
 )
 
-// recordSource tells from whom something known of the store is: by is the gateway that told it,
-// and reader the one whose read of the store showed it. Both are this gateway where it has
-// read itself.
+// recordSource says where store records came from: peer is the gateway that passed them on, and
+// reader the one that read them from the store. Both are this gateway for its own reads.
 type recordSource struct {
 	peer, reader graniteknot.BoxName
 }
 
-// ownSource is the source of what this gateway reads itself.
+// ownSource is the source of this gateway's own reads.
 func (g *Gateway) ownSource() recordSource { return recordSource{g.Config.Box, g.Config.Box} }
--- a/internal/core/gateway/stop.go
+++ b/internal/core/gateway/stop.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// drainDelay is how long a leaving gateway still takes connections: callers
-	// keep its address until their answers run out, and skip it once it refuses.
+	// drainDelay is how long a leaving gateway still accepts connections: callers use its address
+	// until their cached answers expire, and skip it once it refuses connections.
 	drainDelay = 2500 * time.Millisecond
-	// abortReserve is what is left of a planned stop for breaking off what did not
-	// end.
+	// abortReserve is the part of the shutdown bound that is reserved for aborting requests that
+	// are still open.
 	abortReserve = 700 * time.Millisecond
 )
 
-// Stop is a planned stop: the gateway goes out of the answers, serves what is
-// open and what still comes, and ends within the bound in its settings.
+// Stop shuts the gateway down gracefully: it leaves the address answers, serves open and late
+// requests, and returns within the configured stop bound.
 func (g *Gateway) Stop(ctx context.Context) {
 	began := time.Now()
 	g.leaving.Store(true)
--- a/internal/core/gateway/translator.go
+++ b/internal/core/gateway/translator.go
@@ -9,29 +9,30 @@
 	"graniteknot.org/go/internal/core/forward"
 )
 
-// Translator knows the words of a platform.
+// Translator converts between a platform's formats and the product's.
 type Translator interface {
 	forward.Dialect
-	// Tree reads a settings record; nil for a record that is no configuration.
+	// Tree parses a settings record; it returns nil for a record that is no configuration.
 	Tree(r graniteknot.KeyedRecord) (*catalog.Tree, error)
-	// Replica reads a replica's record.
+	// Replica parses a replica's record.
 	Replica(r graniteknot.KeyedRecord) (catalog.Replica, error)
-	// Request reads a caller's request but for its body. After an error the
-	// request holds what could be read.
+	// Request parses a caller's request except for its body. On an error the request holds what
+	// could be parsed.
 	Request(r *http.Request, arrived time.Time) (*forward.Request, error)
-	// Answer writes a replica's headers to the caller's answer.
+	// Answer copies the headers of a replica's response to the caller's.
 	Answer(from, to http.Header)
-	// Refusal writes the headers of the product's own failures.
+	// Refusal sets the headers of a failure response of the product's own; again is the time after
+	// which to retry, if not zero.
 	Refusal(to http.Header, id graniteknot.RequestID, again time.Duration)
-	// AskedFor reads a question for addresses, Addresses answers it.
+	// AskedFor parses an address query, Addresses writes the response to it.
 	AskedFor(r *http.Request) AddressQuery
 	Addresses(w http.ResponseWriter, list []graniteknot.Address, life time.Duration) error
-	// ReadyPath and DirectoryPath are where readiness and addresses are asked.
+	// ReadyPath and DirectoryPath are the URL paths of the readiness check and of address queries.
 	ReadyPath() string
 	DirectoryPath() string
 }
 
-// AddressQuery is a caller's question for addresses.
+// AddressQuery is a caller's query for gateway addresses.
 type AddressQuery struct {
 	Host   string
 	Region string
