--- a/internal/core/gateway/follow.go
+++ b/internal/core/gateway/follow.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	// settingsReadWait is how long one read of the settings waits for a change. Each
-	// read proves that the tree is the newest, so it bounds the tree's age. readerWait is the
-	// same for a gateway that reads for others, which bounds for how long a read may hang
-	// before another one reads.
+	// settingsReadWait is how long a read of the settings long-polls for a change. Each read
+	// confirms that the configuration is the newest, so this bounds its age. readerReadWait is the
+	// same for a gateway that reads for others; it also bounds how long its read may hang before
+	// another gateway reads.
 	settingsReadWait = 1500 * time.Millisecond
 	readerReadWait   = 1200 * time.Millisecond
-	// settingsReadSpacing is the least time between two reads: a change is seen so much later
-	// at most, a tenth of the time in which it has to be in force.
+	// settingsReadSpacing is the minimum interval between two reads. It delays a change by a
+	// tenth, at most, of the time in which it has to be in force.
 	settingsReadSpacing = 200 * time.Millisecond
-	// replicasPauseShare is the time between two reads of the replicas' records, which
-	// change with every heartbeat, as a part of the time after which a leaving
-	// replica must get no more requests.
+	// replicasPauseShare is the pause between two reads of the replica records, which change with
+	// every heartbeat, as a fraction of the time after which a leaving replica must get no more
+	// requests.
 	replicasPauseShare = 0.45
-	// outageGrace is how long after an outage of the store a vanished record is
-	// not taken for the replica's end.
+	// outageGrace is how long after a store outage a vanished record does not count as the end of
+	// the replica.
 	outageGrace = 2500 * time.Millisecond
-	// silenceCheckPeriod is how often silent replicas are looked for.
+	// silenceCheckPeriod is the interval of checkSilence.
 	silenceCheckPeriod = 100 * time.Millisecond
-	// ageCheckPeriod is how often lapsed records and the tree's age are looked at.
+	// ageCheckPeriod is the interval of checkAges.
 	ageCheckPeriod = 250 * time.Millisecond
 )
 
@@ -46,7 +46,7 @@
 	f.Run(ctx)
 }
 
-// applySettings takes in what a read of the store showed, which may be nothing new.
+// applySettings applies the records of a read of the store, which may hold nothing new.
 func (g *Gateway) applySettings(records []graniteknot.KeyedRecord, began time.Time) {
 	newest, record := g.newestTree(records)
 	if newest == nil {
@@ -61,15 +61,15 @@
 	g.activate(newest, record, began, g.ownSource())
 }
 
-// applyPeerSettings takes the configuration that another gateway has, which it proved at a time.
-// It says nothing of what the store shows.
+// applyPeerSettings applies the configuration of another gateway, which confirmed it at the given
+// time. It says nothing about what the store returns.
 func (g *Gateway) applyPeerSettings(records []graniteknot.KeyedRecord, at time.Time, from recordSource) {
 	if newest, record := g.newestTree(records); newest != nil {
 		g.activate(newest, record, at, from)
 	}
 }
 
-// newestTree reads the last record that is a configuration; nil where none is.
+// newestTree parses the last record that is a configuration; nil if there is none.
 func (g *Gateway) newestTree(records []graniteknot.KeyedRecord) (newest *catalog.Tree, record graniteknot.KeyedRecord) {
 	for _, r := range records {
 		tree, err := g.Translator.Tree(r)
@@ -84,7 +84,7 @@
 	return newest, record
 }
 
-// activate takes a configuration into force unless a newer one is.
+// activate puts a configuration into force unless a newer one is.
 func (g *Gateway) activate(newest *catalog.Tree, record graniteknot.KeyedRecord, began time.Time, from recordSource) {
 	former, _ := g.Catalog.Current(began)
 	changed, err := g.Catalog.Offer(newest, began)
@@ -104,8 +104,8 @@
 	}
 }
 
-// logActivation tells that a configuration came into force, from whom, and for how long another
-// gateway was known to have a newer one.
+// logActivation logs and counts that a configuration came into force, where it came from, and for
+// how long another gateway was known to have a newer one.
 func (g *Gateway) logActivation(former, newest *catalog.Tree, began time.Time, from recordSource) {
 	now := g.Clock.Now()
 	behind, by := g.peerVersions.adopted(newest.Version, now)
@@ -120,16 +120,16 @@
 		fields = append(fields, eventlog.Milliseconds("behind", behind), slog.String("told_by", string(by)))
 	}
 	g.Log.Info("configuration", fields...)
-	way := "peer"
+	origin := "peer"
 	if from == g.ownSource() {
-		way = "store"
+		origin = "store"
 	}
-	g.Meter.Count("graniteknot_configurations_total", meter.Label{Name: "from", Value: way})
+	g.Meter.Count("graniteknot_configurations_total", meter.Label{Name: "from", Value: origin})
 	g.Meter.Observe("graniteknot_configuration_lag_seconds", behind)
 }
 
-// warnTooFewConnections tells of services whose replicas take fewer connections than there are
-// gateways: each keeps one all the same, and their sum may pass what a replica takes.
+// warnTooFewConnections warns of services whose replicas accept fewer connections than there are
+// gateways. Each gateway still opens one, so the total may exceed what a replica accepts.
 func (g *Gateway) warnTooFewConnections(tree *catalog.Tree) {
 	for _, s := range tree.Services() {
 		if s.MaxConnections > 0 && connShare*float64(s.MaxConnections) < float64(g.gatewayCount()) {
@@ -138,7 +138,7 @@
 	}
 }
 
-// removeUnconfigured takes out the replicas of services that a configuration does not name.
+// removeUnconfigured removes the replicas of services that the configuration does not contain.
 func (g *Gateway) removeUnconfigured(tree *catalog.Tree) {
 	for _, id := range g.Fleet.Unserved(func(s graniteknot.Service) bool { return tree.Service(s) != nil }) {
 		g.removeReplica(id)
@@ -155,34 +155,33 @@
 	f.Run(ctx)
 }
 
-// replaceReplicas takes the newest records; a replica without one has vanished.
+// replaceReplicas applies the newest record of each key; a replica without a record has vanished.
 func (g *Gateway) replaceReplicas(records []graniteknot.KeyedRecord, began time.Time) {
-	there := map[catalog.ReplicaID]bool{}
+	present := map[catalog.ReplicaID]bool{}
 	for _, r := range records {
-		there[catalog.ReplicaID(r.Key)] = true
+		present[catalog.ReplicaID(r.Key)] = true
 	}
 	for _, id := range g.Fleet.IDs() {
-		if !there[id] {
+		if !present[id] {
 			g.handleVanished(id)
 		}
 	}
 	g.applyReplicas(records, began)
 }
 
-// applyPeerReplicas takes the records that another gateway knows as of a time. If that is
-// newer than what this one knows, a replica without a record is gone: the other one keeps
-// those whose records vanished while the store was not to be trusted. Whether this
-// gateway's own way to the store is disturbed does not matter, so that one that the store
-// turns away sends nothing to a replica that has left.
+// applyPeerReplicas applies the records that another gateway had at the given time. If they are
+// newer than this gateway's, a replica without a record is removed: the other gateway keeps those
+// whose records vanished during a store outage. This gateway's own access to the store does not
+// matter, so that one that the store rejects stops sending to replicas that have left.
 func (g *Gateway) applyPeerReplicas(records []graniteknot.KeyedRecord, at time.Time) {
 	now := g.Clock.Now()
 	if age, read := g.freshness.age(now); !read || at.After(now.Add(-age)) {
-		there := map[catalog.ReplicaID]bool{}
+		present := map[catalog.ReplicaID]bool{}
 		for _, r := range records {
-			there[catalog.ReplicaID(r.Key)] = true
+			present[catalog.ReplicaID(r.Key)] = true
 		}
 		for _, id := range g.Fleet.IDs() {
-			if !there[id] {
+			if !present[id] {
 				g.removeReplica(id)
 			}
 		}
@@ -201,7 +200,7 @@
 		}
 		replica, err := g.parseReplica(r)
 		if err != nil {
-			// Whatever stood under the key before names no replica any more.
+			// The replica that had this key before is no longer usable either.
 			g.reportMalformed("replica", r, err)
 			g.removeReplica(catalog.ReplicaID(r.Key))
 			continue
@@ -215,8 +214,8 @@
 	}
 }
 
-// parseReplica reads a parseReplica's record. One of a service that the configuration does not name
-// names no parseReplica to use either; it could else stand for one at the same address.
+// parseReplica parses a replica's record. A record of a service that the configuration does not
+// contain is an error: it could otherwise replace another replica at the same address.
 func (g *Gateway) parseReplica(r graniteknot.KeyedRecord) (catalog.Replica, error) {
 	replica, err := g.Translator.Replica(r)
 	if err != nil {
@@ -229,15 +228,15 @@
 	return replica, nil
 }
 
-// reportMalformed counts and tells a record that can't be used. Whoever writes to the store can
-// write as many as he likes.
+// reportMalformed counts an unusable record and logs it at a limited rate, since a writer to the
+// store can write any number of them.
 func (g *Gateway) reportMalformed(what string, r graniteknot.KeyedRecord, err error) {
 	g.Meter.Count("graniteknot_malformed_records_total", meter.Label{Name: "record", Value: what})
 	g.malformedLog.Warn(g.Log, "malformed "+what, r.Key, err.Error(), slog.Int64("position", r.At.Offset()))
 }
 
-// handleVanished acts on a record that is gone. While the store is away, and shortly
-// after, records lapse that live replicas will write again.
+// handleVanished handles a replica record that has vanished. During a store outage, and shortly
+// after, records also expire of replicas that are alive and will write them again.
 func (g *Gateway) handleVanished(id catalog.ReplicaID) {
 	if g.Health.Doubtful(g.Clock.Now(), outageGrace) {
 		if g.Fleet.Lapse(id, g.Clock.Now()) {
@@ -248,7 +247,7 @@
 	g.removeReplica(id)
 }
 
-// removeReplica forgets a replica.
+// removeReplica removes a replica and the copy of its record for other gateways.
 func (g *Gateway) removeReplica(id catalog.ReplicaID) {
 	g.recordCache.dropReplica(string(id))
 	if g.Fleet.Remove(id) {
@@ -256,8 +255,8 @@
 	}
 }
 
-// checkAges removes replicas that did not come back, and tells when the
-// configuration becomes too old to trust keys, or new enough again.
+// checkAges removes replicas that did not come back after a store outage, and logs when the
+// configuration becomes too old to trust keys, or recent enough again.
 func (g *Gateway) checkAges() {
 	if back, up := g.Health.Back(); up {
 		for _, id := range g.Fleet.Expire(back, g.Clock.Now()) {
@@ -275,7 +274,8 @@
 	}
 }
 
-// checkSilence moves requests away from replicas that are cut off.
+// checkSilence moves requests away from replicas that are cut off. It also sends pending limit
+// messages, announces the loss of the store and expires the forwarder's state.
 func (g *Gateway) checkSilence() {
 	g.sendLimits()
 	g.announceStoreLoss()
--- a/internal/core/gateway/freshness.go
+++ b/internal/core/gateway/freshness.go
@@ -9,89 +9,91 @@
 	"graniteknot.org/go/internal/core/presence"
 )
 
-// freshness knows how old the replicas' records are. The zero value has none.
+// freshness tracks how recently replica records were confirmed, and the state of asking the
+// readers and the store. The zero value is ready to use.
 type freshness struct {
 	mu sync.Mutex
-	// confirmedAt is the start of the last read that showed the replicas' records, or
-	// of the question whose answer did, less its age.
+	// confirmedAt is the start of the last read that returned the replica records; for an answer
+	// of another gateway, the time of the query less the answer's age.
 	confirmedAt time.Time
-	// preferred is the place of the reader that is asked first: the one that last proved
-	// something. At the start each gateway takes another one.
+	// preferred is the index of the reader to ask first, the one that last confirmed something. It
+	// starts at random, which spreads the gateways over the readers.
 	preferred    int
 	preferredSet bool
-	// probedAt is when each topic's records were last read, or tried to be read,
-	// while the store did not answer.
+	// probedAt is when each topic was last read, or tried to be read, during a store outage.
 	probedAt map[presence.Kind]time.Time
-	// unconfirmedSince is since when readers that answer prove nothing of a topic.
+	// unconfirmedSince is since when the readers answer without confirming a topic.
 	unconfirmedSince map[presence.Kind]time.Time
 }
 
-// probeDue tells whether a store that does not answer is to be called again.
-func (v *freshness) probeDue(kind presence.Kind, period time.Duration, now time.Time) bool {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if v.probedAt == nil {
-		v.probedAt = map[presence.Kind]time.Time{}
+// probeDue reports whether to call a store again that does not answer, and if so records the call.
+func (f *freshness) probeDue(kind presence.Kind, period time.Duration, now time.Time) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.probedAt == nil {
+		f.probedAt = map[presence.Kind]time.Time{}
 	}
-	if now.Sub(v.probedAt[kind]) < period {
+	if now.Sub(f.probedAt[kind]) < period {
 		return false
 	}
-	v.probedAt[kind] = now
+	f.probedAt[kind] = now
 	return true
 }
 
-// unconfirmedFor notes whether readers that answer prove nothing, and returns for how long.
-func (v *freshness) unconfirmedFor(kind presence.Kind, doubted bool, now time.Time) time.Duration {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if v.unconfirmedSince == nil {
-		v.unconfirmedSince = map[presence.Kind]time.Time{}
+// unconfirmedFor records whether the readers answer without confirming a topic, and returns for
+// how long.
+func (f *freshness) unconfirmedFor(kind presence.Kind, unconfirmed bool, now time.Time) time.Duration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.unconfirmedSince == nil {
+		f.unconfirmedSince = map[presence.Kind]time.Time{}
 	}
-	if !doubted {
-		delete(v.unconfirmedSince, kind)
+	if !unconfirmed {
+		delete(f.unconfirmedSince, kind)
 		return 0
 	}
-	since, known := v.unconfirmedSince[kind]
+	since, known := f.unconfirmedSince[kind]
 	if !known {
-		v.unconfirmedSince[kind], since = now, now
+		f.unconfirmedSince[kind], since = now, now
 	}
 	return now.Sub(since)
 }
 
-func (v *freshness) confirm(at time.Time) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if at.After(v.confirmedAt) {
-		v.confirmedAt = at
+func (f *freshness) confirm(at time.Time) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if at.After(f.confirmedAt) {
+		f.confirmedAt = at
 	}
 }
 
-// lastConfirmed returns from when on records may have been written that were not known; zero is any time.
-func (v *freshness) lastConfirmed() time.Time {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.confirmedAt
+// lastConfirmed returns the time from which on records may have been written that this gateway
+// does not know; zero if none were ever confirmed.
+func (f *freshness) lastConfirmed() time.Time {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.confirmedAt
 }
 
-func (v *freshness) age(now time.Time) (time.Duration, bool) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return now.Sub(v.confirmedAt), !v.confirmedAt.IsZero()
+func (f *freshness) age(now time.Time) (time.Duration, bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return now.Sub(f.confirmedAt), !f.confirmedAt.IsZero()
 }
 
-// preferredReader returns the place of the reader that is asked preferredReader.
-func (v *freshness) preferredReader() int {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if !v.preferredSet {
-		v.preferredSet, v.preferred = true, rand.IntN(math.MaxInt32)
+// preferredReader returns the index of the reader to ask first.
+func (f *freshness) preferredReader() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if !f.preferredSet {
+		f.preferredSet, f.preferred = true, rand.IntN(math.MaxInt32)
 	}
-	return v.preferred
+	return f.preferred
 }
 
-// prefer has the reader at a place asked first from now on.
-func (v *freshness) prefer(place int) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.preferred = place
+// prefer makes the reader at an index the first to be asked.
+func (f *freshness) prefer(index int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.preferred = index
 }
--- a/internal/core/gateway/heartbeat.go
+++ b/internal/core/gateway/heartbeat.go
@@ -12,8 +12,8 @@
 	"graniteknot.org/go/internal/delay"
 )
 
-// sendHeartbeat tells the other gateways that this one lives: a relay tells all processes now
-// and then, so that they know where to tell what it passes on.
+// sendHeartbeat sends this gateway's heartbeat to the other gateways. A relay sends it to all
+// processes every presence.RelayPeriod, so that they know whom to report to.
 func (g *Gateway) sendHeartbeat() {
 	now := g.Clock.Now()
 	relaying := g.Members.Relaying(g.self(), !g.leaving.Load(), now)
@@ -29,33 +29,34 @@
 	g.Fleet.Share(len(g.Members.Alive(presence.RoleGateway, g.Config.Box, now)) + 1)
 }
 
-// sendHeartbeatTo tells a new member that this gateway lives.
+// sendHeartbeatTo sends a heartbeat and the limits that this gateway owns to a new member.
 func (g *Gateway) sendHeartbeatTo(m presence.Member) {
 	g.socket.Send(g.heartbeat(), []graniteknot.Address{m.Peers})
 	g.sendOwnedLimits(&m)
 }
 
-// relaySpacing is the least time between two bundles that are sent early.
+// relaySpacing is the minimum interval between two bundles that are sent early.
 const relaySpacing = 50 * time.Millisecond
 
 const (
-	// membersTimeout bounds how long a gateway that starts waits for the members' records.
+	// membersTimeout bounds how long a starting gateway waits for the member records.
 	membersTimeout = 250 * time.Millisecond
-	// concurrentStartTimeout bounds how long a gateway that never ran before waits for others that start
-	// with it, othersStill is how long no more of them must have come.
+	// concurrentStartTimeout bounds how long a gateway on its first start waits for others that
+	// start at the same time; concurrentStartQuiet is how long no new one must have appeared.
 	concurrentStartTimeout = time.Second
 	concurrentStartQuiet   = 600 * time.Millisecond
 	concurrentStartPoll    = 20 * time.Millisecond
 )
 
-// onMembersLoaded notes that the members' records were read, or can't be.
-func (g *Gateway) onMembersLoaded(unknown bool) {
-	g.unregistered = unknown
+// onMembersLoaded is called once the member records were read, or reading them failed.
+// unregistered is set if none of them is of this gateway, from an earlier run either.
+func (g *Gateway) onMembersLoaded(unregistered bool) {
+	g.unregistered = unregistered
 	close(g.membersLoaded)
 }
 
-// awaitMembers waits until the members are known. Then a gateway of a large deployment need not
-// read the store's other records itself: at a start of 149 that is 450 calls.
+// awaitMembers waits until the members are known. Then a gateway of a large deployment can ask the
+// readers instead of the store: a start of 149 gateways would otherwise make 450 store calls.
 func (g *Gateway) awaitMembers(ctx context.Context) {
 	timer := time.NewTimer(membersTimeout)
 	defer timer.Stop()
@@ -69,9 +70,9 @@
 	}
 }
 
-// awaitConcurrentStarts waits for gateways that start for the first time together with this one: none
-// finds records of all the others, and each would read all that one can read for all. The first
-// request ends it.
+// awaitConcurrentStarts waits for gateways that start for the first time together with this one.
+// Without the wait, none finds the records of all the others, and each reads from the store what a
+// few readers can read for all. The first caller's request ends the wait.
 func (g *Gateway) awaitConcurrentStarts(ctx context.Context) {
 	began := g.Clock.Now()
 	known, since := 0, began
@@ -80,34 +81,34 @@
 		if n := len(g.Members.Members(presence.RoleGateway, g.Config.Box)); n != known {
 			known, since = n, now
 		}
-		alone := known == 0 || now.Sub(since) < concurrentStartQuiet
-		if g.usesReaders(now) || !alone || now.Sub(began) >= concurrentStartTimeout {
+		settling := known == 0 || now.Sub(since) < concurrentStartQuiet
+		if g.usesReaders(now) || !settling || now.Sub(began) >= concurrentStartTimeout {
 			return
 		}
 		select {
 		case <-ctx.Done():
 		case <-time.After(concurrentStartPoll):
 		case <-g.configNeeded:
-			// A request waits: it is not held up for the sake of calls.
+			// A waiting request takes precedence over saving store calls.
 			return
 		}
 	}
 }
 
-// discoverMembers learns from others who is known; the readers read the store.
+// discoverMembers learns from readers which processes exist; the readers read the store.
 func (g *Gateway) discoverMembers(ctx context.Context) bool {
 	return len(g.readersToAsk(g.Clock.Now())) > 0 && g.discovery.Ask(ctx)
 }
 
-// heartbeat is what this gateway tells of itself.
+// heartbeat returns the message that describes this gateway's state.
 func (g *Gateway) heartbeat() presence.Message {
 	self := g.self()
-	hello := presence.Message{Ready: g.ready(), Self: &self, Relay: g.relaying.Load(), Quarantine: g.Quarantine.Digest(), Lost: g.storeLost.Load()}
-	hello.Settings = g.ownVersion()
-	return hello
+	m := presence.Message{Ready: g.ready(), Self: &self, Relay: g.relaying.Load(), Quarantine: g.Quarantine.Digest(), Lost: g.storeLost.Load()}
+	m.Settings = g.ownVersion()
+	return m
 }
 
-// ownVersion is that of the configuration in force; 0 for none.
+// ownVersion is the version of the configuration in force; 0 for none.
 func (g *Gateway) ownVersion() uint64 {
 	if tree, _ := g.Catalog.Current(g.Clock.Now()); tree != nil {
 		return uint64(tree.Version)
@@ -115,7 +116,7 @@
 	return 0
 }
 
-// allPeers returns where all other processes take datagrams.
+// allPeers returns the datagram addresses of all other processes.
 func (g *Gateway) allPeers() []graniteknot.Address {
 	var to []graniteknot.Address
 	for _, role := range []presence.Role{presence.RoleGateway, presence.RoleSidecar} {
@@ -126,7 +127,7 @@
 	return to
 }
 
-// relayOnWake passes on at once what the gateways of the zone have to know soon.
+// relayOnWake relays a bundle at once when relayWake is signaled.
 func (g *Gateway) relayOnWake(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -138,7 +139,8 @@
 	}
 }
 
-// relayBundles passes on what was heard of late, if this gateway is a relayBundles.
+// relayBundles sends what was received since the last bundle to the gateways of the zone, if this
+// gateway is a relay.
 func (g *Gateway) relayBundles() {
 	bundles := g.bundler.Bundles(g.Clock.Now())
 	if !g.relaying.Load() {
@@ -150,7 +152,7 @@
 	}
 }
 
-// receive takes a datagram.
+// receive handles a datagram.
 func (g *Gateway) receive(m *presence.Message) {
 	now := g.Clock.Now()
 	if m.Bundle != nil {
@@ -179,7 +181,7 @@
 	}
 }
 
-// receiveBundle takes what a relay passes on.
+// receiveBundle handles a relay's bundle.
 func (g *Gateway) receiveBundle(m *presence.Message, now time.Time) {
 	g.Members.Told(m, now)
 	g.observeVersion(versionNotice{catalog.Version(m.Settings), m.Box, true}, now)
@@ -194,7 +196,7 @@
 	}
 }
 
-// loadOf is what a sidecar told of its replica at a time.
+// loadOf returns the load of a replica that its sidecar measured at the given time.
 func loadOf(d *presence.Digest, taken time.Time) fleet.Load {
 	return fleet.Load{
 		Running: d.Running, Waiting: d.Waiting, Pace: float64(d.Pace),
--- a/internal/core/gateway/peer_versions.go
+++ b/internal/core/gateway/peer_versions.go
@@ -15,93 +15,96 @@
 )
 
 const (
-	// ownReadWait is how long a gateway that reads the store itself, when it is told of a
-	// newer configuration, waits for its own read to show it.
+	// ownReadWait is how long a gateway that reads the store itself waits for its own read to
+	// return a newer configuration that it was told of.
 	ownReadWait = 150 * time.Millisecond
-	// fetchSpacing is the least time between two takings, takeRetry and longestTakeRetry bound
-	// the pause after one that failed, which doubles.
+	// fetchSpacing is the minimum interval between two fetches. After a failed one the pause
+	// starts at fetchRetry and doubles up to maxFetchRetry.
 	fetchSpacing  = 200 * time.Millisecond
 	fetchRetry    = 40 * time.Millisecond
 	maxFetchRetry = time.Second
 )
 
-// peerVersions knows of the newest configuration that another gateway has and this one has not.
-// The zero value knows of none.
+// peerVersions tracks the newest configuration version that other gateways have and this one
+// lacks. The zero value is ready to use.
 type peerVersions struct {
 	mu sync.Mutex
-	// version is the newest that was told, and by the gateway that told it.
+	// version is the newest reported version, and reportedBy the gateway that reported it.
 	version    catalog.Version
 	reportedBy graniteknot.BoxName
-	// holder is a gateway that said of itself that it has held; empty for none.
+	// holder is a gateway that reported to have heldVersion itself; empty for none.
 	holder      graniteknot.BoxName
 	heldVersion catalog.Version
-	// behindSince is when this gateway first was told of one that it has not; zero while it has
-	// the newest.
+	// behindSince is when this gateway was first told of a version that it lacks; zero while it
+	// has the newest.
 	behindSince time.Time
 }
 
-// versionNotice is that a gateway knows of a version; itself tells that it has it.
+// versionNotice reports that a gateway knows of a version; held is set if it has that version
+// itself.
 type versionNotice struct {
 	version catalog.Version
 	from    graniteknot.BoxName
 	held    bool
 }
 
-// observe takes in what was told. It returns whether that is news, and whether this gateway,
-// which has the version own, falls behind with it.
-func (n *peerVersions) observe(t versionNotice, own catalog.Version, now time.Time) (news, behind bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if t.held && t.version > n.heldVersion {
-		n.heldVersion, n.holder = t.version, t.from
-		news = t.version > own
+// observe records a notice. It returns whether the notice is new, and whether this gateway, which
+// has the version own, falls behind because of it.
+func (p *peerVersions) observe(notice versionNotice, own catalog.Version, now time.Time) (news, behind bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if notice.held && notice.version > p.heldVersion {
+		p.heldVersion, p.holder = notice.version, notice.from
+		news = notice.version > own
 	}
-	if t.version <= n.version || t.version <= own {
+	if notice.version <= p.version || notice.version <= own {
 		return news, false
 	}
-	n.version, n.reportedBy = t.version, t.from
-	if !n.behindSince.IsZero() {
+	p.version, p.reportedBy = notice.version, notice.from
+	if !p.behindSince.IsZero() {
 		return true, false
 	}
-	n.behindSince = now
+	p.behindSince = now
 	return true, true
 }
 
-// holderNewerThan returns a gateway that has a newer version than own; false when none said so.
-func (n *peerVersions) holderNewerThan(own catalog.Version) (graniteknot.BoxName, bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.holder, n.heldVersion > own
+// holderNewerThan returns a gateway that has a newer version than own; false if none reported one.
+func (p *peerVersions) holderNewerThan(own catalog.Version) (graniteknot.BoxName, bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.holder, p.heldVersion > own
 }
 
-// adopted notes the version that this gateway has now, and returns for how long it was behind.
-func (n *peerVersions) adopted(own catalog.Version, now time.Time) (time.Duration, graniteknot.BoxName) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.behindSince.IsZero() {
+// adopted records the version that this gateway has now, and returns for how long it was behind
+// and which gateway reported the newer version.
+func (p *peerVersions) adopted(own catalog.Version, now time.Time) (time.Duration, graniteknot.BoxName) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.behindSince.IsZero() {
 		return 0, ""
 	}
-	behind := now.Sub(n.behindSince)
-	if own >= n.version {
-		n.behindSince = time.Time{}
+	behind := now.Sub(p.behindSince)
+	if own >= p.version {
+		p.behindSince = time.Time{}
 	}
-	return behind, n.reportedBy
+	return behind, p.reportedBy
 }
 
-// behindFor returns for how long this gateway has known of a newer version; false when it has
-// the newest.
-func (n *peerVersions) behindFor(now time.Time) (time.Duration, bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.behindSince.IsZero() {
+// behindFor returns for how long this gateway has known of a newer version; false if it has the
+// newest.
+func (p *peerVersions) behindFor(now time.Time) (time.Duration, bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.behindSince.IsZero() {
 		return 0, false
 	}
-	return now.Sub(n.behindSince), true
+	return now.Sub(p.behindSince), true
 }
 
-// observeVersion takes in that another gateway knows of a version, and has it taken.
-func (g *Gateway) observeVersion(t versionNotice, now time.Time) {
-	if t.version == 0 {
+// observeVersion records that another gateway knows of a version, and starts fetching it if it is
+// newer.
+func (g *Gateway) observeVersion(notice versionNotice, now time.Time) {
+	if notice.version == 0 {
 		return
 	}
 	tree, age := g.Catalog.Current(now)
@@ -109,10 +112,10 @@
 	if tree != nil {
 		own = tree.Version
 	}
-	news, behind := g.peerVersions.observe(t, own, now)
+	news, behind := g.peerVersions.observe(notice, own, now)
 	if behind {
 		from := g.settingsSource.Load()
-		g.Log.Info("configuration behind", slog.Int64("version", int64(own)), slog.Int64("told", int64(t.version)), slog.String("by", string(t.from)),
+		g.Log.Info("configuration behind", slog.Int64("version", int64(own)), slog.Int64("told", int64(notice.version)), slog.String("by", string(notice.from)),
 			eventlog.Milliseconds("version_age", age), slog.String("proved_by", string(from.peer)), slog.String("read_by", string(from.reader)))
 	}
 	if news {
@@ -120,14 +123,14 @@
 	}
 }
 
-// isBehind tells whether another gateway is known to have a newer configuration.
+// isBehind reports whether another gateway is known to have a newer configuration.
 func (g *Gateway) isBehind() bool {
 	_, behind := g.peerVersions.behindFor(g.Clock.Now())
 	return behind
 }
 
-// followPeerVersions takes configurations that others have and this gateway has not, as soon as it is
-// told of them.
+// followPeerVersions fetches newer configurations from other gateways as soon as it learns of
+// them.
 func (g *Gateway) followPeerVersions(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -138,7 +141,7 @@
 	}
 }
 
-// catchUp takes configurations until this gateway has the newest that it was told of.
+// catchUp fetches configurations until this gateway has the newest version that it knows of.
 func (g *Gateway) catchUp(ctx context.Context) {
 	if len(g.readersToAsk(g.Clock.Now())) == 0 {
 		delay.For(ctx, ownReadWait)
@@ -155,19 +158,19 @@
 		case <-ctx.Done():
 		case <-time.After(retry):
 		case <-g.peerVersionWake:
-			// A request waits for it.
+			// Another notice came, or a request is waiting for the newer configuration.
 			delay.For(ctx, fetchRetry/2)
 		}
 		retry = min(2*retry, maxFetchRetry)
 	}
 }
 
-// fetchNewer takes a newer configuration from a gateway that said it has one, from one that reads
-// for all, or from any.
+// fetchNewer fetches a newer configuration from a gateway that reported to have one, else from a
+// reader, else from any gateway.
 func (g *Gateway) fetchNewer(ctx context.Context) bool {
 	now := g.Clock.Now()
 	own := g.ownVersion()
-	// It may have come into force by a read that was under way when it was told.
+	// The version may have been adopted by a read that was in progress when the notice came.
 	g.peerVersions.adopted(catalog.Version(own), now)
 	if !g.isBehind() {
 		return true
@@ -185,31 +188,31 @@
 	return g.fetchSettingsFromPeer(ctx)
 }
 
-// shuffled returns members in a random order.
+// shuffled shuffles members in place and returns them.
 func shuffled(list []presence.Member) []presence.Member {
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list
 }
 
-// fetchNewerFrom takes the configuration of a gateway if it is newer.
+// fetchNewerFrom fetches the configuration of a gateway if it is newer than own.
 func (g *Gateway) fetchNewerFrom(ctx context.Context, m presence.Member, own uint64) bool {
 	asked := g.Clock.Now()
 	answer, err := g.askPeer(ctx, m.Peers, querySettings)
 	if err != nil || answer.State <= own {
 		return false
 	}
-	p := confirmation{peer: m, Standing: answer, asOf: asked.Add(-answer.Age)}
-	records, ok := g.fetchRecords(ctx, &p, querySettingsPart)
+	c := confirmation{peer: m, Standing: answer, asOf: asked.Add(-answer.Age)}
+	records, ok := g.fetchRecords(ctx, &c, querySettingsPart)
 	if !ok {
 		return false
 	}
-	g.applyPeerSettings(records, p.asOf, p.source())
+	g.applyPeerSettings(records, c.asOf, c.source())
 	return g.ownVersion() > own
 }
 
-// announceVersion tells others at once of a configuration that came into force, in a large
-// deployment: whoever read it tells the relays, and a relay tells its zone, which takes it
-// from there.
+// announceVersion announces a configuration that came into force, in a large deployment. The
+// gateway that read it from the store tells the relays, and the relays tell the gateways of their
+// zones, which fetch it from them.
 func (g *Gateway) announceVersion(from recordSource) {
 	now := g.Clock.Now()
 	if !g.usesReaders(now) {
@@ -221,7 +224,7 @@
 	wake(g.relayWake)
 }
 
-// wake sends to a channel unless something waits there.
+// wake signals a channel without blocking.
 func wake(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/internal/core/gateway/startup.go
+++ b/internal/core/gateway/startup.go
@@ -13,19 +13,19 @@
 
 const (
 	// startupHold is how long after its start a gateway holds requests until it knows a
-	// configuration and the replicas: about twice what the first read takes where all start at once. Most of
-	// those who come right after a loss of power have no other try left. Where the store is
-	// away they are refused after that time, and later ones at once.
+	// configuration and the replicas: about twice what the first read takes when all gateways
+	// start at once. Most callers that come right after a power loss have no retry left. During a
+	// store outage they are refused after this time, and later ones at once.
 	startupHold = 700 * time.Millisecond
-	// firstVersionTimeout bounds how long a gateway that has read its first configuration asks others
-	// whether they have a newer one.
+	// firstVersionTimeout bounds how long a gateway that has read its first configuration asks
+	// others for a newer one.
 	firstVersionTimeout = 150 * time.Millisecond
-	// startupPollPeriod is the time between two looks.
+	// startupPollPeriod is the interval at which held requests check for a configuration.
 	startupPollPeriod = 10 * time.Millisecond
 )
 
-// awaitTree returns the configuration in force and its age; nil where none is known, and this
-// process has not just started. One that has just started knows the replicas' records as well.
+// awaitTree returns the configuration in force and its age; nil if none is known. For startupHold
+// after the start it waits until a configuration and the replica records are known.
 func (g *Gateway) awaitTree(ctx context.Context) (*catalog.Tree, time.Duration) {
 	for {
 		now := g.Clock.Now()
@@ -41,11 +41,11 @@
 	}
 }
 
-// checkPeersForNewer takes a newer configuration from a gateway that has one before the first that the
-// store shows comes into force: a store that is back from an older copy may have keys that were
-// taken away since, until operators have written again. The first gateway that has read any
-// decides; those that have just started, too, do not answer for long.
-func (g *Gateway) checkPeersForNewer(shown catalog.Version) {
+// checkPeersForNewer runs before the first configuration from the store comes into force, and
+// applies a newer one that another gateway has: a store restored from an older copy may contain
+// keys that were revoked since, until operators have written again. The first gateway that has
+// read any configuration decides; others that have just started do not delay the start for long.
+func (g *Gateway) checkPeersForNewer(stored catalog.Version) {
 	if g.firstVersionChecked {
 		return
 	}
@@ -55,24 +55,25 @@
 	peers := g.Members.Living(presence.RoleGateway, g.Config.Box, g.Clock.Now())
 	for _, i := range rand.Perm(len(peers))[:min(revalidateTries, len(peers))] {
 		asked := g.Clock.Now()
-		told, err := g.askPeer(ctx, peers[i].Peers, querySettings)
+		answer, err := g.askPeer(ctx, peers[i].Peers, querySettings)
 		if err != nil {
 			continue
 		}
-		if told.State > uint64(shown) {
-			g.fetchInitialFrom(ctx, &confirmation{peer: peers[i], Standing: told, asOf: asked.Add(-told.Age)}, shown)
+		if answer.State > uint64(stored) {
+			g.fetchInitialFrom(ctx, &confirmation{peer: peers[i], Standing: answer, asOf: asked.Add(-answer.Age)}, stored)
 		}
 		return
 	}
 }
 
-// fetchInitialFrom takes the configuration of a gateway that has a newer one than the store shows.
-func (g *Gateway) fetchInitialFrom(ctx context.Context, p *confirmation, shown catalog.Version) {
-	records, err := g.socket.Fetch(ctx, p.peer.Peers, querySettingsPart)
+// fetchInitialFrom fetches the configuration of a gateway that has a newer one than the store
+// returned.
+func (g *Gateway) fetchInitialFrom(ctx context.Context, c *confirmation, stored catalog.Version) {
+	records, err := g.socket.Fetch(ctx, c.peer.Peers, querySettingsPart)
 	if err != nil {
-		g.Log.Warn("newer configuration", slog.String("peer", string(p.peer.Box)), slog.String("error", err.Error()))
+		g.Log.Warn("newer configuration not fetched", slog.String("peer", string(c.peer.Box)), slog.String("error", err.Error()))
 		return
 	}
-	g.Log.Warn("store behind", slog.String("peer", string(p.peer.Box)), slog.Int64("shown", int64(shown)))
-	g.applyPeerSettings(records, p.asOf, p.source())
+	g.Log.Warn("store behind", slog.String("peer", string(c.peer.Box)), slog.Int64("shown", int64(stored)))
+	g.applyPeerSettings(records, c.asOf, c.source())
 }
