--- a/internal/core/gateway/quarantine.go
+++ b/internal/core/gateway/quarantine.go
@@ -12,34 +12,34 @@
 	"graniteknot.org/go/internal/core/watch"
 )
 
-// A request that ends replicas comes again at any gateway, so what one learns of it is
-// worth nothing unless all know it. It is told at once by datagram; hellos carry a digest,
-// and who hears another one takes the rest, so that lost datagrams and cut links leave
-// nothing out. Requests that are kept from replicas stand in the store as well, for
-// gateways that reach no other and for the time after all have ended.
+// A request that crashes replicas is retried at any gateway, so all gateways have to know of it.
+// An entry is sent at once by datagram. Heartbeats carry a digest of all entries, and a gateway that
+// receives a different digest fetches the entries, which covers lost datagrams and network
+// partitions. Quarantined requests are also stored, for gateways that reach no other one and for a
+// restart of all gateways.
 
 const (
-	// queryQuarantinePart asks for a part of what is known.
+	// queryQuarantinePart requests a part of the known entries.
 	queryQuarantinePart presence.Kind = 22
-	// maxEntriesPerDatagram is how many entries one datagram holds, of at most 45 bytes each.
+	// maxEntriesPerDatagram is how many entries, of at most 45 bytes each, one datagram holds.
 	maxEntriesPerDatagram = 20
-	// quarantineReadWait is how long one read of the records waits for a change.
+	// quarantineReadWait is how long a read of the records long-polls for a change.
 	quarantineReadWait = 20 * time.Second
-	// quarantineReaders is how many gateways read the records where they do so for all.
+	// quarantineReaders is how many gateways read the records in a large deployment.
 	quarantineReaders = 2
-	// quarantineReadSpacing is the least time between two reads.
+	// quarantineReadSpacing is the minimum interval between two reads.
 	quarantineReadSpacing = 300 * time.Millisecond
-	// quarantineReaderCheck is the time between two looks whether other gateways still read
-	// the records, where they do so for all.
+	// quarantineReaderCheck is the interval at which a gateway that does not read the records
+	// checks whether others still do.
 	quarantineReaderCheck = time.Second
-	// quarantineWritePeriod is the time between two looks whether the store has a record of each
-	// request that is kept from replicas. Whoever found it out writes it; had that
-	// process ended, another does after wardPatience.
+	// quarantineWritePeriod is the interval of maintainQuarantine. The gateway that quarantined a
+	// request writes its record; if that process has ended, another one does after
+	// quarantineWriteDelay.
 	quarantineWritePeriod = 500 * time.Millisecond
 	quarantineWriteDelay  = 1500 * time.Millisecond
 )
 
-// onQuarantineChange tells what an own request showed.
+// onQuarantineChange sends an entry that changed because of a request of this gateway.
 func (g *Gateway) onQuarantineChange(e quarantine.Entry) {
 	g.logQuarantined(&e)
 	g.quarantineReplication.scheduleWrite(&e, g.Clock.Now())
@@ -49,7 +49,7 @@
 	}
 }
 
-// logQuarantined tells of a request that is kept from replicas from now on, or no more.
+// logQuarantined logs that a request is quarantined, suspected or released.
 func (g *Gateway) logQuarantined(e *quarantine.Entry) {
 	switch {
 	case e.Blocks():
@@ -61,47 +61,47 @@
 	}
 }
 
-// sendQuarantine tells other gateways entries, few enough for a datagram.
+// sendQuarantine sends entries that fit into one datagram to other gateways.
 func (g *Gateway) sendQuarantine(entries []quarantine.Entry, to []graniteknot.Address) {
 	body, err := quarantine.Encode(entries)
 	if err != nil {
-		g.Log.Warn("quarantine", slog.String("error", err.Error()))
+		g.Log.Warn("quarantine entries not sent", slog.String("error", err.Error()))
 		return
 	}
 	g.socket.Send(presence.Message{Quarantined: body}, to)
 }
 
-// receiveQuarantine takes in what another gateway told; a relay passes on what is new.
+// receiveQuarantine merges entries that another gateway sent; a relay forwards the new ones.
 func (g *Gateway) receiveQuarantine(m *presence.Message, now time.Time) {
 	entries, err := quarantine.Decode(m.Quarantined)
 	if err != nil {
-		g.Log.Warn("quarantine", slog.String("peer", string(m.Box)), slog.String("error", err.Error()))
+		g.Log.Warn("malformed quarantine entries", slog.String("peer", string(m.Box)), slog.String("error", err.Error()))
 		return
 	}
-	fresh := g.mergeQuarantine(entries, now)
-	if len(fresh) > 0 && g.relaying.Load() {
-		g.sendQuarantine(fresh, g.Members.InZone(g.self()))
+	changed := g.mergeQuarantine(entries, now)
+	if len(changed) > 0 && g.relaying.Load() {
+		g.sendQuarantine(changed, g.Members.InZone(g.self()))
 	}
 }
 
-// mergeQuarantine takes in entries and returns those that said something new.
+// mergeQuarantine merges entries and returns those that changed, in their merged form.
 func (g *Gateway) mergeQuarantine(entries []quarantine.Entry, now time.Time) []quarantine.Entry {
-	var fresh []quarantine.Entry
+	var changed []quarantine.Entry
 	for i := range entries {
 		if !g.Quarantine.Merge(&entries[i], now) {
 			continue
 		}
-		// Together with what was known it may say more than what was told.
-		if whole, known := g.Quarantine.Entry(entries[i].Key, now); known {
-			fresh = append(fresh, whole)
-			g.logQuarantined(&whole)
-			g.quarantineReplication.scheduleWrite(&whole, now.Add(quarantineWriteDelay))
+		// The merged entry may hold more than the one received.
+		if merged, known := g.Quarantine.Entry(entries[i].Key, now); known {
+			changed = append(changed, merged)
+			g.logQuarantined(&merged)
+			g.quarantineReplication.scheduleWrite(&merged, now.Add(quarantineWriteDelay))
 		}
 	}
-	return fresh
+	return changed
 }
 
-// fetchQuarantine takes what another gateway knows where its digest differs.
+// fetchQuarantine fetches another gateway's entries if its digest differs from this gateway's.
 func (g *Gateway) fetchQuarantine(m *presence.Message) {
 	if m.Quarantine == 0 || m.Quarantine == g.Quarantine.Digest() || !g.quarantineReplication.digestChanged(m.Box, m.Quarantine) {
 		return
@@ -117,18 +117,18 @@
 		for _, r := range records {
 			entries, err := quarantine.Decode(r.Value)
 			if err != nil {
-				g.Log.Warn("quarantine", slog.String("peer", string(box)), slog.String("error", err.Error()))
+				g.Log.Warn("malformed quarantine entries", slog.String("peer", string(box)), slog.String("error", err.Error()))
 				continue
 			}
-			fresh := g.mergeQuarantine(entries, now)
-			if len(fresh) > 0 && g.relaying.Load() {
-				g.sendQuarantine(fresh, g.Members.InZone(g.self()))
+			changed := g.mergeQuarantine(entries, now)
+			if len(changed) > 0 && g.relaying.Load() {
+				g.sendQuarantine(changed, g.Members.InZone(g.self()))
 			}
 		}
 	})
 }
 
-// packQuarantine packs all entries, some in a record.
+// packQuarantine packs all entries into records of up to maxEntriesPerDatagram entries.
 func (g *Gateway) packQuarantine() (presence.Packed, error) {
 	var records []graniteknot.KeyedRecord
 	entries := g.Quarantine.Entries(g.Clock.Now())
@@ -143,8 +143,8 @@
 	return presence.Pack(records)
 }
 
-// followQuarantine reads the records. In a large deployment the gateways that read for
-// all do, and their digests tell the others.
+// followQuarantine follows the records in the store. In a large deployment only the first readers
+// do, and the digests in their heartbeats reach the others.
 func (g *Gateway) followQuarantine(ctx context.Context) {
 	g.awaitMembers(ctx)
 	f := watch.Follower{
@@ -156,9 +156,9 @@
 	f.Run(ctx)
 }
 
-// rewriteQuarantine has the records written again that the store lost when it came back from
-// an older copy. All that read them find that out at once, so each waits for a while of its
-// own, and the first one's records tell the others.
+// rewriteQuarantine schedules writing the records that the store lost when it was restored from an
+// older copy. All readers find that out at once, so each waits for a random time, and the records
+// of the first one reach the others.
 func (g *Gateway) rewriteQuarantine() {
 	now := g.Clock.Now()
 	g.quarantineReplication.resetStored()
@@ -167,11 +167,12 @@
 	}
 }
 
-// readsQuarantine tells whether this gateway reads the records itself.
+// readsQuarantine reports whether this gateway reads the records itself.
 func (g *Gateway) readsQuarantine(now time.Time) bool {
 	return !g.usesReaders(now) || g.isAmongFirstReaders(quarantineReaders, now)
 }
 
+// applyQuarantineRecords merges records read from the store.
 func (g *Gateway) applyQuarantineRecords(records []graniteknot.KeyedRecord, _ time.Time) {
 	now := g.Clock.Now()
 	for _, r := range records {
@@ -181,9 +182,9 @@
 			continue
 		}
 		g.quarantineReplication.markStored(&e)
-		if whole, known := g.Quarantine.Entry(e.Key, now); known && whole.Released && e.Blocks() {
-			// A copy of the store has it from before its release.
-			g.quarantineReplication.scheduleWrite(&whole, now.Add(rand.N(quarantineWriteDelay)))
+		if own, known := g.Quarantine.Entry(e.Key, now); known && own.Released && e.Blocks() {
+			// The record is from before the release, in a store restored from an older copy.
+			g.quarantineReplication.scheduleWrite(&own, now.Add(rand.N(quarantineWriteDelay)))
 		}
 		if g.Quarantine.Merge(&e, now) {
 			g.Log.Info("quarantine record", slog.String("identity", r.Key), slog.Bool("released", e.Released), slog.Int64("position", r.At.Offset()))
@@ -191,8 +192,8 @@
 	}
 }
 
-// maintainQuarantine writes the records that the store lacks, and has entries go that have
-// stood for long enough.
+// maintainQuarantine removes expired entries and writes the records that are out of date in the
+// store.
 func (g *Gateway) maintainQuarantine() {
 	now := g.Clock.Now()
 	for _, k := range g.Quarantine.Expire(now) {
@@ -208,8 +209,8 @@
 	}
 }
 
-// writeQuarantineRecord writes the record of one request; one that fails is tried again with
-// the next look.
+// writeQuarantineRecord writes the record of a request; a failed write is retried after
+// quarantineWritePeriod.
 func (g *Gateway) writeQuarantineRecord(k quarantine.Key, now time.Time) bool {
 	e, known := g.Quarantine.Entry(k, now)
 	if !known {
--- a/internal/core/gateway/quarantine_replication.go
+++ b/internal/core/gateway/quarantine_replication.go
@@ -8,59 +8,60 @@
 	"graniteknot.org/go/internal/core/quarantine"
 )
 
-// replicationState knows what other processes and the store have of the quarantine. The zero value
-// knows nothing.
+// replicationState tracks which quarantine entries the store and the other gateways have. The zero
+// value is ready to use.
 type replicationState struct {
 	mu sync.Mutex
-	// fetched is the digest that was last fetched of each gateway.
+	// fetched is the digest of each gateway whose entries were last fetched.
 	fetched map[graniteknot.BoxName]uint64
-	// stored are the requests that the store has a record of.
+	// stored is the set of requests that the store has a record of.
 	stored map[quarantine.Key]bool
-	// writeAt is when each request that it has none of is to be written.
+	// writeAt is when to write the record of each request whose record is out of date in the
+	// store.
 	writeAt map[quarantine.Key]time.Time
 }
 
-// scheduleWrite notes when the store is to have a record of an entry, or none of one that was
-// released.
-func (w *replicationState) scheduleWrite(e *quarantine.Entry, due time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.writeAt == nil {
-		w.writeAt = map[quarantine.Key]time.Time{}
+// scheduleWrite schedules writing the store's record of an entry, or removing that of a released
+// one, unless the store is up to date.
+func (s *replicationState) scheduleWrite(e *quarantine.Entry, due time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.writeAt == nil {
+		s.writeAt = map[quarantine.Key]time.Time{}
 	}
-	if e.Blocks() != w.stored[e.Key] && (e.Blocks() || e.Released) {
-		w.writeAt[e.Key] = due
+	if e.Blocks() != s.stored[e.Key] && (e.Blocks() || e.Released) {
+		s.writeAt[e.Key] = due
 	}
 }
 
-// markStored notes what the markStored has of a request.
-func (w *replicationState) markStored(e *quarantine.Entry) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.stored == nil {
-		w.stored = map[quarantine.Key]bool{}
+// markStored records what the store has of a request.
+func (s *replicationState) markStored(e *quarantine.Entry) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.stored == nil {
+		s.stored = map[quarantine.Key]bool{}
 	}
-	delete(w.writeAt, e.Key)
+	delete(s.writeAt, e.Key)
 	if e.Blocks() {
-		w.stored[e.Key] = true
+		s.stored[e.Key] = true
 	} else {
-		delete(w.stored, e.Key)
+		delete(s.stored, e.Key)
 	}
 }
 
-// resetStored notes that nothing is known of what the store has.
-func (w *replicationState) resetStored() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.stored = nil
+// resetStored forgets what the store has.
+func (s *replicationState) resetStored() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.stored = nil
 }
 
 // dueWrites returns the requests whose records are to be written now.
-func (w *replicationState) dueWrites(now time.Time) []quarantine.Key {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (s *replicationState) dueWrites(now time.Time) []quarantine.Key {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var out []quarantine.Key
-	for k, due := range w.writeAt {
+	for k, due := range s.writeAt {
 		if !now.Before(due) {
 			out = append(out, k)
 		}
@@ -68,24 +69,24 @@
 	return out
 }
 
-// digestChanged tells whether a gateway's digest is not the one that was last taken of it: who
-// knows less than this one is not asked again and again.
-func (w *replicationState) digestChanged(box graniteknot.BoxName, digest uint64) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.fetched == nil {
-		w.fetched = map[graniteknot.BoxName]uint64{}
+// digestChanged reports whether a gateway's digest differs from the last one fetched from it, and
+// records it. So a gateway that knows less than this one is not queried repeatedly.
+func (s *replicationState) digestChanged(box graniteknot.BoxName, digest uint64) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.fetched == nil {
+		s.fetched = map[graniteknot.BoxName]uint64{}
 	}
-	if w.fetched[box] == digest {
+	if s.fetched[box] == digest {
 		return false
 	}
-	w.fetched[box] = digest
+	s.fetched[box] = digest
 	return true
 }
 
-// forgetDigest notes that nothing was taken of a gateway.
-func (w *replicationState) forgetDigest(box graniteknot.BoxName) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.fetched, box)
+// forgetDigest forgets the digest of a gateway after a failed fetch.
+func (s *replicationState) forgetDigest(box graniteknot.BoxName) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.fetched, box)
 }
--- a/internal/core/gateway/readers.go
+++ b/internal/core/gateway/readers.go
@@ -11,31 +11,33 @@
 )
 
 const (
-	// probePeriod is the time between two calls to a store that does not answer
-	// while other gateways prove what is known.
+	// probePeriod is the interval between two calls to a store that does not answer, while other
+	// gateways confirm the known state.
 	probePeriod = 1500 * time.Millisecond
-	// nonReaderProbePeriod is the same for gateways that others read for, and doubtPatience for how
-	// long these rely on readers that answer and prove nothing: one question more, so that a
-	// replica that leaves gets nothing for too long.
+	// nonReaderProbePeriod is the same for gateways that are not readers. unconfirmedTimeout is
+	// how long these rely on readers that answer without confirming anything: long enough for one
+	// more query, and short enough that a leaving replica does not get requests for too long.
 	nonReaderProbePeriod = 4 * time.Second
 	unconfirmedTimeout   = 300 * time.Millisecond
-	// readerSettingsMaxAge is how old an answer on the configuration may be to a gateway that stands
-	// by: the age at which the one that reads has a read overdue, which proved what was in force
-	// at the begin of the one before. settingsTrust is the same for all others, which may ask one
-	// that stands by.
+	// readerSettingsMaxAge is the maximum age of a configuration answer for a standby reader. At
+	// this age a read of the active reader is overdue; the read before it confirmed what was in
+	// force when it began. settingsMaxAge is the same for all other gateways, which may ask a
+	// standby reader.
 	readerSettingsMaxAge = 2*readerReadWait + 400*time.Millisecond
 	settingsMaxAge       = readerSettingsMaxAge + revalidatePause
-	// replicasMaxAgeShare is the same on the replicas, as a part of the time after which a
-	// leaving replica must get nothing: the time between two reads and that between two
-	// questions, of a reader that stands by and of the asker. A gateway that stands by
-	// trusts for a little longer than the time between two reads, replicasShare.
+	// replicasMaxAgeShare is the maximum age of an answer on the replicas, as a fraction of the
+	// time after which a leaving replica must get no requests. It covers the interval between two
+	// reads and one query interval each of a standby reader and of the gateway that asks it. For a
+	// standby reader the maximum, readerReplicasMaxAgeShare, is slightly more than the interval
+	// between two reads, replicasPauseShare.
 	replicasMaxAgeShare       = 0.70
 	readerReplicasMaxAgeShare = 0.49
 )
 
-// readersToAsk returns the gateways to ask in place of reading the store; nil when this one
-// has to read itself. The first that the store answers reads, the next ones stand by: each asks
-// those before it, and reads while none of them proves anything. All others ask any of these.
+// readersToAsk returns the gateways to ask instead of reading the store; nil if this one has to
+// read it. Of the readers, the first one with access to the store reads and the next ones stand
+// by: each asks those before it, and reads while none of them confirms anything. All other
+// gateways ask any of the readers.
 func (g *Gateway) readersToAsk(now time.Time) []presence.Member {
 	all := g.allReaders(now)
 	for i, m := range all {
@@ -46,12 +48,12 @@
 	return all
 }
 
-// allReaders returns the gateways that read the store for all, this one included; nil in
-// a small deployment.
+// allReaders returns the gateways that read the store for all, including this one if it is a
+// reader; nil in a small deployment.
 func (g *Gateway) allReaders(now time.Time) []presence.Member {
-	most := g.Config.Readers
+	limit := g.Config.Readers
 	all := append(g.Members.Living(presence.RoleGateway, g.Config.Box, now), g.self())
-	if most == 0 || len(all) <= 2*most {
+	if limit == 0 || len(all) <= 2*limit {
 		return nil
 	}
 	return readers.Order(all, func(box graniteknot.BoxName) bool {
@@ -59,16 +61,17 @@
 			return g.Health.Lost(now)
 		}
 		return g.Members.Lost(box)
-	})[:most]
+	})[:limit]
 }
 
-// wakeFollowers has those that follow the store look at once who reads it.
+// wakeFollowers makes the store followers check at once whether this gateway has to read.
 func (g *Gateway) wakeFollowers() {
 	wake(g.settingsWake)
 	wake(g.replicasWake)
 }
 
-// announceStoreLoss tells the others at once when the store is lost to this gateway, or answers it again.
+// announceStoreLoss sends a heartbeat at once when this gateway loses access to the store, or
+// regains it.
 func (g *Gateway) announceStoreLoss() {
 	lost := g.Health.Lost(g.Clock.Now())
 	if g.storeLost.Swap(lost) == lost {
@@ -78,8 +81,8 @@
 	g.socket.Send(g.heartbeat(), g.Members.Audience(g.Config.Box, g.Clock.Now()))
 }
 
-// checkReaderLosses looks who reads once others are heard to have lost the store, or to have it
-// again.
+// checkReaderLosses relays at once, and makes a reader check whether it has to read, after another
+// gateway has lost access to the store or regained it.
 func (g *Gateway) checkReaderLosses() {
 	changes := g.Members.LostChanges()
 	if g.seenLossChanges.Swap(changes) == changes {
@@ -91,7 +94,7 @@
 	}
 }
 
-// readWait is how long a read of the settings waits for a change.
+// readWait is how long a read of the settings long-polls for a change.
 func (g *Gateway) readWait() time.Duration {
 	if g.usesReaders(g.Clock.Now()) {
 		return readerReadWait
@@ -99,12 +102,12 @@
 	return settingsReadWait
 }
 
-// otherReaders returns the readers but for this gateway.
+// otherReaders returns all readers except this gateway.
 func (g *Gateway) otherReaders(now time.Time) []presence.Member {
 	return slices.DeleteFunc(g.allReaders(now), func(m presence.Member) bool { return m.Box == g.Config.Box })
 }
 
-// readerAddresses returns where the readers are asked.
+// readerAddresses returns the addresses of readersToAsk.
 func (g *Gateway) readerAddresses(now time.Time) []graniteknot.Address {
 	var out []graniteknot.Address
 	for _, m := range g.readersToAsk(now) {
@@ -113,24 +116,25 @@
 	return out
 }
 
-// usesReaders tells whether this is a large deployment, in which readers read for all.
+// usesReaders reports whether this is a large deployment, in which a few gateways read the store
+// for all.
 func (g *Gateway) usesReaders(now time.Time) bool {
-	most := g.Config.Readers
-	return most > 0 && len(g.Members.Living(presence.RoleGateway, g.Config.Box, now))+1 > 2*most
+	limit := g.Config.Readers
+	return limit > 0 && len(g.Members.Living(presence.RoleGateway, g.Config.Box, now))+1 > 2*limit
 }
 
-// isAmongFirstReaders tells whether this gateway is among the first that read for all.
+// isAmongFirstReaders reports whether this gateway is one of the first n readers.
 func (g *Gateway) isAmongFirstReaders(n int, now time.Time) bool { return len(g.readersToAsk(now)) < n }
 
-// isReader tells whether this gateway reads as soon as the readers before it do not.
+// isReader reports whether this gateway is a reader, active or standby.
 func (g *Gateway) isReader(now time.Time) bool {
 	return len(g.readersToAsk(now)) < g.Config.Readers
 }
 
-// shouldCallStore tells whether this gateway is to call the store although others could prove
-// what it knows and did not. In a large deployment, where readers answer but prove
-// nothing, the store is away for them, and most likely for all: then it is called now
-// and then only: calls of all that each call as often as a single one would add up.
+// shouldCallStore reports whether to call the store after other gateways did not confirm the known
+// state. In a large deployment, readers that answer without confirming anything have lost the
+// store, as most likely have all gateways. Then each gateway calls it only at intervals, since the
+// calls of all gateways add up.
 func (g *Gateway) shouldCallStore(kind presence.Kind, answered bool, now time.Time) bool {
 	if !g.usesReaders(now) {
 		return true
@@ -139,42 +143,41 @@
 		_, up := g.Health.Back()
 		return up || g.freshness.probeDue(kind, probePeriod, now)
 	}
-	doubted := g.freshness.unconfirmedFor(kind, answered, now)
+	unconfirmed := g.freshness.unconfirmedFor(kind, answered, now)
 	if _, up := g.Health.Back(); up && !answered {
 		return true
 	}
-	return (!answered || doubted > unconfirmedTimeout) && g.freshness.probeDue(kind, nonReaderProbePeriod, now)
+	return (!answered || unconfirmed > unconfirmedTimeout) && g.freshness.probeDue(kind, nonReaderProbePeriod, now)
 }
 
-// peersToAsk returns the gateways to ask about a topic; nil when the store is to be
-// read. A gateway that the store does not answer asks those that it does answer, and calls the
-// store now and then.
+// peersToAsk returns the gateways to ask about a topic; nil if the store is to be read. A gateway
+// without access to the store asks those that may have it, and calls the store at intervals.
 func (g *Gateway) peersToAsk(kind presence.Kind, now time.Time) []presence.Member {
-	before := g.readersToAsk(now)
-	many := g.usesReaders(now)
+	ahead := g.readersToAsk(now)
+	shared := g.usesReaders(now)
 	_, up := g.Health.Back()
 	lost := g.Health.Lost(now)
 	switch {
-	case many && !lost, !many && up:
-		return before
+	case shared && !lost, !shared && up:
+		return ahead
 	case g.freshness.probeDue(kind, probePeriod, now):
 		return nil
-	case many:
+	case shared:
 		return g.otherReaders(now)
 	}
 	return g.Members.Living(presence.RoleGateway, g.Config.Box, now)
 }
 
-// maxAnswerAge is how old an answer on a topic may be to this gateway.
+// maxAnswerAge is the maximum age of an answer on a topic for this gateway.
 func (g *Gateway) maxAnswerAge(kind presence.Kind) time.Duration {
 	now := g.Clock.Now()
-	reads := g.usesReaders(now) && g.isReader(now)
+	reader := g.usesReaders(now) && g.isReader(now)
 	switch {
-	case kind == querySettings && reads:
+	case kind == querySettings && reader:
 		return readerSettingsMaxAge
 	case kind == querySettings:
 		return settingsMaxAge
-	case reads:
+	case reader:
 		return time.Duration(readerReplicasMaxAgeShare * float64(g.Config.Drain))
 	}
 	return time.Duration(replicasMaxAgeShare * float64(g.Config.Drain))
