--- a/internal/core/gateway/limits.go
+++ b/internal/core/gateway/limits.go
@@ -16,15 +16,16 @@
 	"graniteknot.org/go/internal/core/quota"
 )
 
-// A replica that names a limit means all gateways together. So what one hears of it all are
-// told, and one gateway, the limit's home, deals out permits to those that ask. All find
-// the home from who lives; two that differ in that ask two homes until they agree.
+// The rate limit that a replica reports applies to all gateways together. So a gateway reports a
+// limit that it hears of to all others, and one gateway, the limit's owner, grants permits to those
+// that ask for them. Each gateway derives the owner from the live members; gateways that differ on
+// these may ask two owners until they agree.
 
-// maxUnansweredAsks is how many asks in a row a home may leave unanswered before the next gateway is
-// asked: it is heard, but does not hear.
+// maxUnansweredAsks is how many asks in a row an owner may leave unanswered before the next
+// gateway is asked: its datagrams arrive, but those to it may not.
 const maxUnansweredAsks = 3
 
-// signalLimits tells that something is to be told or asked; it never waits.
+// signalLimits signals, without blocking, that limit messages are waiting to be sent.
 func (g *Gateway) signalLimits() {
 	select {
 	case g.limitsPending <- struct{}{}:
@@ -32,7 +33,7 @@
 	}
 }
 
-// runLimitSender tells and asks what there is, as soon as there is something.
+// runLimitSender sends limit messages as soon as there are any.
 func (g *Gateway) runLimitSender(ctx context.Context) {
 	for {
 		select {
@@ -44,13 +45,14 @@
 	}
 }
 
+// sendLimits sends the waiting limit reports and asks for permits.
 func (g *Gateway) sendLimits() {
 	now := g.Clock.Now()
-	told, asks := g.Fleet.Outbox(now)
-	if len(told) > 0 {
-		g.sendLimitReports(told, g.Members.Audience(g.Config.Box, now))
+	reports, asks := g.Fleet.Outbox(now)
+	if len(reports) > 0 {
+		g.sendLimitReports(reports, g.Members.Audience(g.Config.Box, now))
 		if g.relaying.Load() {
-			g.sendLimitReports(told, g.Members.InZone(g.self()))
+			g.sendLimitReports(reports, g.Members.InZone(g.self()))
 		}
 	}
 	for i := range asks {
@@ -58,15 +60,15 @@
 	}
 }
 
-// maxLimitsPerDatagram is how many limits one datagram tells, of some 50 bytes each.
+// maxLimitsPerDatagram is how many limits, of about 50 bytes each, one datagram holds.
 const maxLimitsPerDatagram = 20
 
-// sendLimitReports tells other gateways of limits.
-func (g *Gateway) sendLimitReports(told []quota.Told, to []graniteknot.Address) {
-	for len(told) > 0 && len(to) > 0 {
-		n := min(maxLimitsPerDatagram, len(told))
-		g.sendQuota(&quota.Message{Told: told[:n]}, to)
-		told = told[n:]
+// sendLimitReports sends limit reports to other gateways.
+func (g *Gateway) sendLimitReports(reports []quota.Told, to []graniteknot.Address) {
+	for len(reports) > 0 && len(to) > 0 {
+		n := min(maxLimitsPerDatagram, len(reports))
+		g.sendQuota(&quota.Message{Told: reports[:n]}, to)
+		reports = reports[n:]
 	}
 }
 
@@ -79,24 +81,24 @@
 	g.socket.Send(presence.Message{Ready: g.ready(), Quota: body}, to)
 }
 
-// requestPermits asks a limit's home for permits.
-func (g *Gateway) requestPermits(a *fleet.LimitAsk, now time.Time) {
-	life := a.Key.Life()
-	home := g.limitOwner(life, a.Silent/maxUnansweredAsks, now)
+// requestPermits asks a limit's owner for permits.
+func (g *Gateway) requestPermits(ask *fleet.LimitAsk, now time.Time) {
+	life := ask.Key.Life()
+	owner := g.limitOwner(life, ask.Silent/maxUnansweredAsks, now)
 	g.countLimit("graniteknot_limit_asks_total", "sent", 1)
-	if a.Silent > 0 {
+	if ask.Silent > 0 {
 		g.countLimit("graniteknot_limit_asks_total", "unanswered", 1)
 	}
-	if home == nil {
-		grant := g.grantPermits(&a.Ask, g.Config.Box, now)
+	if owner == nil {
+		grant := g.grantPermits(&ask.Ask, g.Config.Box, now)
 		g.applyGrant(&grant, now)
 		return
 	}
-	g.sendQuota(&quota.Message{Asks: []quota.Ask{a.Ask}}, []graniteknot.Address{home.Peers})
+	g.sendQuota(&quota.Message{Asks: []quota.Ask{ask.Ask}}, []graniteknot.Address{owner.Peers})
 }
 
-// limitOwner returns the gateway that deals out a limit, the next ones after some; nil for this
-// one.
+// limitOwner returns the gateway that owns a limit, or the next candidate after skip others; nil
+// for this one.
 func (g *Gateway) limitOwner(life catalog.Life, skip int, now time.Time) *presence.Member {
 	list := g.Members.Alive(presence.RoleGateway, g.Config.Box, now)
 	list = append(list, g.self())
@@ -104,62 +106,64 @@
 	for ; skip%len(list) > 0; skip-- {
 		list = append(list[:ownerIndex(list, name)], list[ownerIndex(list, name)+1:]...)
 	}
-	home := &list[ownerIndex(list, name)]
-	if home.Box == g.Config.Box {
+	owner := &list[ownerIndex(list, name)]
+	if owner.Box == g.Config.Box {
 		return nil
 	}
-	return home
+	return owner
 }
 
-// ownerIndex returns the index of the gateway that a limit falls to: few limits change their home as
-// a gateway comes or goes.
+// ownerIndex selects a limit's owner by rendezvous hashing, so that few limits change owners when
+// a gateway joins or leaves.
 func ownerIndex(list []presence.Member, life string) int {
-	best, most := 0, uint64(0)
+	best, highest := 0, uint64(0)
 	for i := range list {
-		if sum := xxhash.Sum64String(string(list[i].Box) + "\x00" + life); sum >= most {
-			best, most = i, sum
+		if sum := xxhash.Sum64String(string(list[i].Box) + "\x00" + life); sum >= highest {
+			best, highest = i, sum
 		}
 	}
 	return best
 }
 
-// grantPermits answers an ask.
-func (g *Gateway) grantPermits(a *quota.Ask, box graniteknot.BoxName, now time.Time) quota.Grant {
-	for i := range a.Told {
-		g.applyLimitReport(&a.Told[i], now)
+// grantPermits answers an ask for permits.
+func (g *Gateway) grantPermits(ask *quota.Ask, box graniteknot.BoxName, now time.Time) quota.Grant {
+	for i := range ask.Told {
+		g.applyLimitReport(&ask.Told[i], now)
 	}
-	life := a.Key.Life()
-	rate, limited, told := g.Fleet.Takes(life, now)
-	grant := quota.Grant{Key: a.Key}
+	life := ask.Key.Life()
+	rate, limited, reports := g.Fleet.Takes(life, now)
+	grant := quota.Grant{Key: ask.Key}
 	if limited {
-		grant = g.Limits.Deal(now, life, rate, box, a.Want)
+		grant = g.Limits.Deal(now, life, rate, box, ask.Want)
 	}
-	grant.Number, grant.Told = a.Number, told
+	grant.Number, grant.Told = ask.Number, reports
 	g.countLimit("graniteknot_limit_permits_total", "dealt", grant.Count)
 	return grant
 }
 
+// applyGrant applies permits granted to this gateway.
 func (g *Gateway) applyGrant(grant *quota.Grant, now time.Time) {
 	if g.Fleet.Granted(grant, now) {
 		g.countLimit("graniteknot_limit_permits_total", "granted", grant.Count)
 	}
 }
 
-// receiveQuota takes in what another gateway tells, asks or grants.
+// receiveQuota handles another gateway's limit reports, grants and asks; a relay forwards new
+// reports.
 func (g *Gateway) receiveQuota(m *presence.Message, now time.Time) {
 	message, err := quota.Decode(m.Quota)
 	if err != nil {
 		g.Log.Warn("limits", slog.String("peer", string(m.Box)), slog.String("error", err.Error()))
 		return
 	}
-	var fresh []quota.Told
+	var updated []quota.Told
 	for i := range message.Told {
 		if g.applyLimitReport(&message.Told[i], now) {
-			fresh = append(fresh, message.Told[i])
+			updated = append(updated, message.Told[i])
 		}
 	}
 	if g.relaying.Load() {
-		g.sendLimitReports(fresh, g.Members.InZone(g.self()))
+		g.sendLimitReports(updated, g.Members.InZone(g.self()))
 	}
 	for i := range message.Grants {
 		g.applyGrant(&message.Grants[i], now)
@@ -172,34 +176,34 @@
 	}
 }
 
-// applyLimitReport takes in what another gateway knows of a limit; it returns whether that is new.
-func (g *Gateway) applyLimitReport(w *quota.Told, now time.Time) bool {
-	if !g.Fleet.Told(w, now) {
+// applyLimitReport applies another gateway's report of a limit, and returns whether it is new.
+func (g *Gateway) applyLimitReport(report *quota.Told, now time.Time) bool {
+	if !g.Fleet.Told(report, now) {
 		return false
 	}
-	g.Log.Info("replica told", slog.String("replica", w.Key.Life().String()), slog.String("subject", w.Subject.String()),
-		slog.Bool("holds", w.Holds), slog.Float64("limit", float64(w.Rate)), eventlog.Milliseconds("age", time.Duration(w.Age)*time.Millisecond))
+	g.Log.Info("replica told", slog.String("replica", report.Key.Life().String()), slog.String("subject", report.Subject.String()),
+		slog.Bool("holds", report.Holds), slog.Float64("limit", float64(report.Rate)), eventlog.Milliseconds("age", time.Duration(report.Age)*time.Millisecond))
 	return true
 }
 
-// sendOwnedLimits tells a new gateway of the limits that this one is the home of, so that it knows
-// them before its first request.
+// sendOwnedLimits sends a new gateway the limits that this one owns, and those whose ownership
+// passes to the new gateway, so that it knows them before its first request.
 func (g *Gateway) sendOwnedLimits(m *presence.Member) {
 	if m.Role != presence.RoleGateway {
 		return
 	}
 	now := g.Clock.Now()
-	var told []quota.Told
-	for _, w := range g.Fleet.Limits(now) {
-		home := g.limitOwner(w.Key.Life(), 0, now)
-		if home != nil && home.Box == m.Box {
-			home = g.limitOwner(w.Key.Life(), 1, now)
+	var owned []quota.Told
+	for _, report := range g.Fleet.Limits(now) {
+		owner := g.limitOwner(report.Key.Life(), 0, now)
+		if owner != nil && owner.Box == m.Box {
+			owner = g.limitOwner(report.Key.Life(), 1, now)
 		}
-		if home == nil {
-			told = append(told, w)
+		if owner == nil {
+			owned = append(owned, report)
 		}
 	}
-	g.sendLimitReports(told, []graniteknot.Address{m.Peers})
+	g.sendLimitReports(owned, []graniteknot.Address{m.Peers})
 }
 
 func (g *Gateway) countLimit(name, what string, n int) {
--- a/internal/core/gateway/revalidate.go
+++ b/internal/core/gateway/revalidate.go
@@ -14,135 +14,134 @@
 	"graniteknot.org/go/internal/delay"
 )
 
-// In a large deployment a few gateways read the store, and the others ask them
-// whether what they know is still the newest. In any deployment a gateway that the
-// store does not answer asks those that it may answer. Whoever hears that something has
-// changed takes the records from the one who said so, as the store gave them. An
-// answer proves as much as a read that began when the question was asked, less
-// the age of the answer: how long question and answer were on their way, or
-// either process stood still, only makes it older.
+// In a large deployment a few gateways read the store, and the others ask them whether their own
+// state is still the newest. In any deployment a gateway that has lost access to the store asks
+// those that may have it. A gateway that learns of a change fetches the records, as the store
+// returned them, from the one that answered. An answer confirms as much as a read that began when
+// the query was sent, less the age in the answer. Time spent in transit or in a suspended process
+// only makes the answer older.
 
 const (
-	// revalidatePause is the time between two questions.
+	// revalidatePause is the pause between two queries.
 	revalidatePause = 400 * time.Millisecond
-	// revalidateTimeout bounds a question to one gateway.
+	// revalidateTimeout bounds a query to one gateway.
 	revalidateTimeout = 120 * time.Millisecond
-	// revalidateTries is how many gateways are asked before the store is read: all
-	// readers, several of which the store may turn away.
+	// revalidateTries is how many gateways are asked before the store is read: all readers,
+	// several of which may have lost access to the store.
 	revalidateTries = 6
-	// unreadTimeout is for how long a gateway that has just started waits for a reader
-	// that has read nothing either, before it reads the store.
+	// unreadTimeout is how long a gateway that has just started waits for readers that have not
+	// read anything yet, before it reads the store.
 	unreadTimeout = 3 * time.Second
-	// unreadPause is the time between two questions until then.
+	// unreadPause is the pause between two queries meanwhile.
 	unreadPause = 60 * time.Millisecond
 )
 
-// The questions that gateways ask each other.
+// Queries between gateways.
 const (
 	querySettings presence.Kind = 16
 	queryReplicas presence.Kind = 17
 )
 
-// The state of an answer's topic is unknown before the first read.
-var errNotRead = errors.New("not read yet")
+// errNotRead means that the queried gateway has not read the topic yet.
+var errNotRead = errors.New("topic not read yet")
 
-// confirmation is what a reader proves of a topic.
+// confirmation is what a reader's answer confirms about a topic.
 type confirmation struct {
-	// peer is the reader that was asked; Standing is what it answered, as of at.
+	// peer is the reader that was asked; Standing is its answer, which confirms the state as of
+	// asOf.
 	peer presence.Member
 	readers.Standing
 	asOf time.Time
-	// unread tells that the reader knows no state yet.
+	// unread is set if the reader has not read the topic yet.
 	unread bool
-	// answered tells that a reader answered, but proved nothing.
+	// answered is set if a reader answered without confirming anything.
 	answered bool
 }
 
-// source is whose read the proof is, and who told it.
-func (p *confirmation) source() recordSource { return recordSource{p.peer.Box, p.Reader} }
+// source returns the source of the confirmed state.
+func (c *confirmation) source() recordSource { return recordSource{c.peer.Box, c.Reader} }
 
-// revalidateSettings tells whether a reader proves that the tree is the newest, or
-// hands on a newer one.
+// revalidateSettings reports whether a reader confirms that the configuration is the newest, or
+// provides a newer one.
 func (g *Gateway) revalidateSettings(ctx context.Context) bool {
-	from := g.peersToAsk(querySettings, g.Clock.Now())
-	if len(from) == 0 {
+	peers := g.peersToAsk(querySettings, g.Clock.Now())
+	if len(peers) == 0 {
 		return false
 	}
-	p, ok := g.askUntilRead(ctx, from, querySettings, g.maxAnswerAge(querySettings))
+	c, ok := g.askUntilRead(ctx, peers, querySettings, g.maxAnswerAge(querySettings))
 	if !ok {
-		return !g.shouldCallStore(querySettings, p.answered, g.Clock.Now())
+		return !g.shouldCallStore(querySettings, c.answered, g.Clock.Now())
 	}
 	now := g.Clock.Now()
 	tree, age := g.Catalog.Current(now)
 	switch {
-	case tree != nil && p.State == uint64(tree.Version):
-		g.settingsSource.Store(&recordSource{p.peer.Box, p.Reader})
-		return g.Catalog.Prove(tree.Version, p.asOf)
-	case tree != nil && p.State < uint64(tree.Version):
-		// The reader has yet to see what this gateway was told by another one.
+	case tree != nil && c.State == uint64(tree.Version):
+		g.settingsSource.Store(&recordSource{c.peer.Box, c.Reader})
+		return g.Catalog.Prove(tree.Version, c.asOf)
+	case tree != nil && c.State < uint64(tree.Version):
+		// The reader has not seen the version yet that this gateway got from another one.
 		return age < settingsMaxAge
 	}
-	records, ok := g.fetchRecords(ctx, &p, querySettingsPart)
+	records, ok := g.fetchRecords(ctx, &c, querySettingsPart)
 	if !ok {
 		return false
 	}
-	g.applyPeerSettings(records, p.asOf, p.source())
+	g.applyPeerSettings(records, c.asOf, c.source())
 	tree, _ = g.Catalog.Current(now)
-	return tree != nil && uint64(tree.Version) >= p.State
+	return tree != nil && uint64(tree.Version) >= c.State
 }
 
-// revalidateReplicas tells whether a reader proves that the replicas are known, or
-// hands on others.
+// revalidateReplicas reports whether a reader confirms the known replicas, or provides others.
 func (g *Gateway) revalidateReplicas(ctx context.Context) bool {
-	from := g.peersToAsk(queryReplicas, g.Clock.Now())
-	if len(from) == 0 {
+	peers := g.peersToAsk(queryReplicas, g.Clock.Now())
+	if len(peers) == 0 {
 		return false
 	}
-	trust := g.maxAnswerAge(queryReplicas)
-	p, ok := g.askUntilRead(ctx, from, queryReplicas, trust)
+	maxAge := g.maxAnswerAge(queryReplicas)
+	c, ok := g.askUntilRead(ctx, peers, queryReplicas, maxAge)
 	if !ok {
-		return !g.shouldCallStore(queryReplicas, p.answered, g.Clock.Now())
+		return !g.shouldCallStore(queryReplicas, c.answered, g.Clock.Now())
 	}
-	if p.Sound {
-		g.Health.Elsewhere(p.asOf)
+	if c.Sound {
+		g.Health.Elsewhere(c.asOf)
 	}
 	now := g.Clock.Now()
 	age, read := g.freshness.age(now)
 	switch {
-	case read && p.State == uint64(g.Fleet.Digest()):
-		g.freshness.confirm(p.asOf)
+	case read && c.State == uint64(g.Fleet.Digest()):
+		g.freshness.confirm(c.asOf)
 		return true
-	case read && !p.asOf.After(now.Add(-age)):
-		// What this gateway knows is newer than what the reader does.
-		return age < trust
+	case read && !c.asOf.After(now.Add(-age)):
+		// This gateway's state is newer than the reader's.
+		return age < maxAge
 	}
-	records, ok := g.fetchRecords(ctx, &p, queryReplicasPart)
+	records, ok := g.fetchRecords(ctx, &c, queryReplicasPart)
 	if !ok {
 		return false
 	}
-	g.applyPeerReplicas(records, p.asOf)
-	return p.State == uint64(g.Fleet.Digest())
+	g.applyPeerReplicas(records, c.asOf)
+	return c.State == uint64(g.Fleet.Digest())
 }
 
-// fetchRecords takes records from a reader that has others: nearly all gateways would else call
-// the store at each change, each of them for all records.
-func (g *Gateway) fetchRecords(ctx context.Context, p *confirmation, kind presence.Kind) ([]graniteknot.KeyedRecord, bool) {
-	records, err := g.socket.Fetch(ctx, p.peer.Peers, kind)
+// fetchRecords fetches the records of a reader whose state differs. Otherwise nearly all gateways
+// would read all records from the store after each change.
+func (g *Gateway) fetchRecords(ctx context.Context, c *confirmation, kind presence.Kind) ([]graniteknot.KeyedRecord, bool) {
+	records, err := g.socket.Fetch(ctx, c.peer.Peers, kind)
 	if err != nil {
-		g.Log.Warn("records of a reader", slog.String("reader", string(p.peer.Box)), slog.String("error", err.Error()))
+		g.Log.Warn("records of a reader", slog.String("reader", string(c.peer.Box)), slog.String("error", err.Error()))
 		return nil, false
 	}
 	g.Meter.Count("graniteknot_revalidations_total", meter.Label{Name: "result", Value: "taken"})
 	return records, true
 }
 
-// askUntilRead asks readers for the state of a topic until one has read it, as after a start
-// of all gateways at once.
-func (g *Gateway) askUntilRead(ctx context.Context, from []presence.Member, kind presence.Kind, trust time.Duration) (confirmation, bool) {
+// askUntilRead asks readers for the state of a topic until one has read it, as after a start of
+// all gateways at once.
+func (g *Gateway) askUntilRead(ctx context.Context, peers []presence.Member, kind presence.Kind, maxAge time.Duration) (confirmation, bool) {
 	for {
-		p, ok := g.askReaders(ctx, from, kind, trust)
-		if !p.unread {
-			return p, ok
+		c, ok := g.askReaders(ctx, peers, kind, maxAge)
+		if !c.unread {
+			return c, ok
 		}
 		if g.Clock.Since(g.startedAt) > unreadTimeout || ctx.Err() != nil {
 			return confirmation{}, false
@@ -151,30 +150,30 @@
 	}
 }
 
-// askReaders asks a reader or two for the state of a topic, and returns it with
-// the time from which on it is proved; false when none knows it well enough.
-func (g *Gateway) askReaders(ctx context.Context, from []presence.Member, kind presence.Kind, trust time.Duration) (confirmation, bool) {
+// askReaders asks readers in turn for the state of a topic, and returns it with the time as of
+// which it is confirmed; false if none has a recent enough state.
+func (g *Gateway) askReaders(ctx context.Context, peers []presence.Member, kind presence.Kind, maxAge time.Duration) (confirmation, bool) {
 	answered := false
 	first := g.freshness.preferredReader()
-	for i := range min(revalidateTries, len(from)) {
-		reader := from[(first+i)%len(from)]
+	for i := range min(revalidateTries, len(peers)) {
+		reader := peers[(first+i)%len(peers)]
 		asked := g.Clock.Now()
-		told, err := g.askPeer(ctx, reader.Peers, kind)
+		answer, err := g.askPeer(ctx, reader.Peers, kind)
 		if errors.Is(err, errNotRead) {
 			return confirmation{peer: reader, unread: true}, true
 		}
 		answered = answered || err == nil
-		at := asked.Add(-told.Age)
-		if err == nil && g.Clock.Since(at) < trust {
+		asOf := asked.Add(-answer.Age)
+		if err == nil && g.Clock.Since(asOf) < maxAge {
 			g.Meter.Count("graniteknot_revalidations_total", meter.Label{Name: "result", Value: "proved"})
 			g.freshness.prefer(first + i)
 			g.freshness.unconfirmedFor(kind, false, asked)
-			return confirmation{peer: reader, Standing: told, asOf: at}, true
+			return confirmation{peer: reader, Standing: answer, asOf: asOf}, true
 		}
 		g.Meter.Count("graniteknot_revalidations_total", meter.Label{Name: "result", Value: "doubted"})
 		if err == nil || ctx.Err() == nil {
 			g.Log.Info("reader doubted", slog.String("reader", string(reader.Box)), slog.Int("kind", int(kind)),
-				eventlog.Milliseconds("age", g.Clock.Since(at)), slog.String("read_by", string(told.Reader)), slog.Any("error", err))
+				eventlog.Milliseconds("age", g.Clock.Since(asOf)), slog.String("read_by", string(answer.Reader)), slog.Any("error", err))
 		}
 	}
 	return confirmation{answered: answered}, false
@@ -182,9 +181,9 @@
 
 // askPeer asks a gateway for the state of a topic.
 func (g *Gateway) askPeer(ctx context.Context, to graniteknot.Address, kind presence.Kind) (readers.Standing, error) {
-	short, cancel := context.WithTimeout(ctx, revalidateTimeout)
+	bounded, cancel := context.WithTimeout(ctx, revalidateTimeout)
 	defer cancel()
-	body, err := g.socket.Ask(short, to, kind, nil)
+	body, err := g.socket.Ask(bounded, to, kind, nil)
 	if err != nil {
 		return readers.Standing{}, err
 	}
@@ -194,10 +193,10 @@
 	return readers.DecodeStanding(body)
 }
 
-// answerPeer answers another process's question; a state that is not known yet with
-// nothing.
+// answerPeer answers another process's query. The answer is empty if this gateway has not read the
+// topic yet.
 func (g *Gateway) answerPeer(_ context.Context, kind presence.Kind, body []byte) ([]byte, error) {
-	if out, mine, err := g.discovery.Answer(kind, body); mine {
+	if out, handled, err := g.discovery.Answer(kind, body); handled {
 		return out, err
 	}
 	now := g.Clock.Now()
@@ -213,7 +212,8 @@
 		}
 		return g.encodeStanding(uint64(tree.Version), age, g.settingsSource.Load().reader), nil
 	case queryReplicas:
-		// The age is taken first: a change in between makes the state newer.
+		// The age is taken before the digest, so that a change in between cannot make the state
+		// look newer than it is.
 		age, ok := g.freshness.age(now)
 		if !ok {
 			return nil, nil
@@ -223,7 +223,7 @@
 	return nil, readers.ErrMalformed
 }
 
-// encodeStanding is this gateway's answer on a topic.
+// encodeStanding encodes this gateway's answer on a topic.
 func (g *Gateway) encodeStanding(state uint64, age time.Duration, reader graniteknot.BoxName) []byte {
 	s := readers.Standing{State: state, Age: age, Sound: !g.Health.Doubtful(g.Clock.Now(), outageGrace), Reader: reader}
 	return s.Encode()
--- a/internal/core/gateway/share.go
+++ b/internal/core/gateway/share.go
@@ -15,131 +15,131 @@
 	"graniteknot.org/go/internal/core/presence"
 )
 
-// A gateway that the store does not answer takes the configuration and the replicas'
-// records from another gateway: one that has just started would refuse everything
-// until the store is back. What it takes is the other's records as the store gave
-// them, in parts that fit into datagrams, with a digest of the whole and the age of
-// the read that proved them. It reads them as if the store had returned them then.
+// A gateway without access to the store fetches the configuration and the replica records from
+// another gateway; one that has just started would otherwise refuse all requests during a store
+// outage. The records are transferred as the store returned them, in parts that fit into datagrams,
+// with a digest of the whole and the age of the read that confirmed them, and are applied as if the
+// store had returned them at that time.
 
 const (
-	// querySettingsPart and askReplicasPart ask for a part of the records.
+	// querySettingsPart and queryReplicasPart request a part of the records.
 	querySettingsPart presence.Kind = 18
 	queryReplicasPart presence.Kind = 19
 )
 
-// recordCache holds the records as the store gave them, for other gateways. The zero
-// value holds none.
+// recordCache holds the records as the store returned them, for other gateways. The zero value is
+// empty.
 type recordCache struct {
 	mu       sync.Mutex
 	settings []graniteknot.KeyedRecord
 	replicas map[string]graniteknot.KeyedRecord
-	// packed are the packs that were last begun to be sent, by kind.
+	// packed holds the latest packed records by kind.
 	packed map[presence.Kind]packedRecords
-	// revisions count the changes of the records, by kind.
+	// revisions counts the changes of the records by kind.
 	revisions map[presence.Kind]uint64
-	// settingsPacks and replicasPacks have the packs that others are taking.
+	// settingsPacks and replicasPacks hold the packed records that other gateways are fetching.
 	settingsPacks, replicasPacks presence.Shelf
 }
 
-// packedRecords are packed records of an edition.
+// packedRecords are the packed records of a revision.
 type packedRecords struct {
 	presence.Packed
 
 	revision uint64
 }
 
-func (s *recordCache) putSettings(r graniteknot.KeyedRecord) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.settings = []graniteknot.KeyedRecord{r}
-	s.bumpRevision(querySettingsPart)
+func (c *recordCache) putSettings(r graniteknot.KeyedRecord) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.settings = []graniteknot.KeyedRecord{r}
+	c.bumpRevision(querySettingsPart)
 }
 
-func (s *recordCache) putReplica(r graniteknot.KeyedRecord) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.replicas == nil {
-		s.replicas = map[string]graniteknot.KeyedRecord{}
+func (c *recordCache) putReplica(r graniteknot.KeyedRecord) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.replicas == nil {
+		c.replicas = map[string]graniteknot.KeyedRecord{}
 	}
-	s.replicas[r.Key] = r
-	s.bumpRevision(queryReplicasPart)
+	c.replicas[r.Key] = r
+	c.bumpRevision(queryReplicasPart)
 }
 
-func (s *recordCache) dropReplica(key string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.replicas, key)
-	s.bumpRevision(queryReplicasPart)
+func (c *recordCache) dropReplica(key string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.replicas, key)
+	c.bumpRevision(queryReplicasPart)
 }
 
-// bumpRevision counts a change of a kind of records; called with the lock held.
-func (s *recordCache) bumpRevision(kind presence.Kind) {
-	if s.revisions == nil {
-		s.revisions = map[presence.Kind]uint64{}
+// bumpRevision counts a change of a kind of records. The caller holds the lock.
+func (c *recordCache) bumpRevision(kind presence.Kind) {
+	if c.revisions == nil {
+		c.revisions = map[presence.Kind]uint64{}
 	}
-	s.revisions[kind]++
+	c.revisions[kind]++
 }
 
-// pack returns the records of a kind.
-func (s *recordCache) pack(kind presence.Kind) (presence.Packed, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if known, ok := s.packed[kind]; ok && known.revision == s.revisions[kind] {
-		return known.Packed, nil
+// pack returns the packed records of a kind.
+func (c *recordCache) pack(kind presence.Kind) (presence.Packed, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if latest, ok := c.packed[kind]; ok && latest.revision == c.revisions[kind] {
+		return latest.Packed, nil
 	}
-	list := s.settings
+	list := c.settings
 	if kind == queryReplicasPart {
-		list = slices.SortedFunc(maps.Values(s.replicas), func(a, b graniteknot.KeyedRecord) int { return cmp.Compare(a.Key, b.Key) })
+		list = slices.SortedFunc(maps.Values(c.replicas), func(a, b graniteknot.KeyedRecord) int { return cmp.Compare(a.Key, b.Key) })
 	}
 	out, err := presence.Pack(list)
 	if err != nil {
 		return nil, err
 	}
-	if s.packed == nil {
-		s.packed = map[presence.Kind]packedRecords{}
+	if c.packed == nil {
+		c.packed = map[presence.Kind]packedRecords{}
 	}
-	s.packed[kind] = packedRecords{out, s.revisions[kind]}
+	c.packed[kind] = packedRecords{out, c.revisions[kind]}
 	return out, nil
 }
 
-// part answers another gateway's question for a part.
-func (s *recordCache) part(kind presence.Kind, body []byte) ([]byte, error) {
-	shelf := &s.settingsPacks
+// part answers another gateway's query for a part of the records.
+func (c *recordCache) part(kind presence.Kind, body []byte) ([]byte, error) {
+	packs := &c.settingsPacks
 	if kind == queryReplicasPart {
-		shelf = &s.replicasPacks
+		packs = &c.replicasPacks
 	}
-	return shelf.Part(body, func() (presence.Packed, error) { return s.pack(kind) })
+	return packs.Part(body, func() (presence.Packed, error) { return c.pack(kind) })
 }
 
-// fetchSettingsFromPeer takes a newer configuration from a gateway that has one, where
-// the store does not answer; false when none has.
+// fetchSettingsFromPeer fetches a newer configuration from another gateway when the store does not
+// answer; it returns false if none has one.
 func (g *Gateway) fetchSettingsFromPeer(ctx context.Context) bool {
-	known := uint64(0)
+	own := uint64(0)
 	if tree, _ := g.Catalog.Current(g.Clock.Now()); tree != nil {
-		known = uint64(tree.Version)
+		own = uint64(tree.Version)
 	}
-	newer := func(state uint64) bool { return state > known }
+	newer := func(state uint64) bool { return state > own }
 	return g.fetchFromPeers(ctx, querySettings, querySettingsPart, newer, g.applyPeerSettings)
 }
 
-// fetchReplicasFromPeer takes the replicas' records from a gateway that knows others.
+// fetchReplicasFromPeer fetches the replica records from another gateway whose records differ.
 func (g *Gateway) fetchReplicasFromPeer(ctx context.Context) bool {
-	other := func(state uint64) bool { return state != uint64(g.Fleet.Digest()) }
-	return g.fetchFromPeers(ctx, queryReplicas, queryReplicasPart, other, func(records []graniteknot.KeyedRecord, at time.Time, _ recordSource) {
+	differs := func(state uint64) bool { return state != uint64(g.Fleet.Digest()) }
+	return g.fetchFromPeers(ctx, queryReplicas, queryReplicasPart, differs, func(records []graniteknot.KeyedRecord, at time.Time, _ recordSource) {
 		g.applyPeerReplicas(records, at)
 	})
 }
 
-// fetchFromPeers asks gateways in turn for what they know, and takes the records of the
-// first whose state is wanted.
-func (g *Gateway) fetchFromPeers(ctx context.Context, stateKind, partKind presence.Kind, wanted func(uint64) bool, take func([]graniteknot.KeyedRecord, time.Time, recordSource)) bool {
+// fetchFromPeers queries other gateways in turn for their state, and fetches and applies the
+// records of the first one whose state is wanted.
+func (g *Gateway) fetchFromPeers(ctx context.Context, stateKind, partKind presence.Kind, wanted func(uint64) bool, apply func([]graniteknot.KeyedRecord, time.Time, recordSource)) bool {
 	peers := g.Members.Living(presence.RoleGateway, g.Config.Box, g.Clock.Now())
 	first := rand.IntN(max(1, len(peers)))
 	for i := range min(revalidateTries, len(peers)) {
 		peer := peers[(first+i)%len(peers)]
 		asked := g.Clock.Now()
-		told, err := g.askPeer(ctx, peer.Peers, stateKind)
-		if err != nil || !wanted(told.State) {
+		answer, err := g.askPeer(ctx, peer.Peers, stateKind)
+		if err != nil || !wanted(answer.State) {
 			continue
 		}
 		records, err := g.socket.Fetch(ctx, peer.Peers, partKind)
@@ -147,8 +147,8 @@
 			g.Log.Warn("records of a peer", slog.String("peer", string(peer.Box)), slog.String("error", err.Error()))
 			continue
 		}
-		g.Log.Info("records of a peer", slog.String("peer", string(peer.Box)), slog.Int("records", len(records)), eventlog.Milliseconds("age", told.Age))
-		take(records, asked.Add(-told.Age), recordSource{peer.Box, told.Reader})
+		g.Log.Info("records of a peer", slog.String("peer", string(peer.Box)), slog.Int("records", len(records)), eventlog.Milliseconds("age", answer.Age))
+		apply(records, asked.Add(-answer.Age), recordSource{peer.Box, answer.Reader})
 		return true
 	}
 	return false
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -78,7 +78,7 @@
 		Package: "internal/core/fleet", Test: "TestWhoWaitsForRestedReplicas",
 	},
 	{
-		Name: "a heartbeat is as new as its reading", File: "internal/core/gateway/follow.go",
+		Name: "a replica record counts as written when it was read", File: "internal/core/gateway/follow.go",
 		Old: "g.Fleet.PutSince(replica, since, now)", New: "g.Fleet.PutSince(replica, now.Add(0*now.Sub(since)), now)",
 		Package: "internal/core/gateway", Test: "TestRestIsNotLostByALateHeartbeat", Says: "though it had asked for rest",
 	},
@@ -125,17 +125,17 @@
 		Package: "internal/core/gateway", Test: "TestOwnRecordsAreWrittenAgain", Says: "the process has a record again",
 	},
 	{
-		Name: "quarantine's records are not written again", File: "internal/core/gateway/quarantine.go",
+		Name: "quarantine records are not rewritten after a restore of the store", File: "internal/core/gateway/quarantine.go",
 		Old: "\tg.quarantineReplication.resetStored()\n", New: "",
 		Package: "internal/core/gateway", Test: "TestOwnRecordsAreWrittenAgain", Says: "the request has a record again",
 	},
 	{
-		Name: "nobody takes newer settings than the store shows", File: "internal/core/gateway/peer_versions.go",
+		Name: "newer configurations of other gateways are not fetched", File: "internal/core/gateway/peer_versions.go",
 		Old: "\tif news {\n\t\twake(g.peerVersionWake)\n", New: "\tif news && false {\n\t\twake(g.peerVersionWake)\n",
 		Package: "internal/core/gateway", Test: "TestVersionsAreInForceInTimeThoughReadersAreTurnedAway", Says: "came into force",
 	},
 	{
-		Name: "each gateway holds a limit for itself", File: "internal/core/gateway/limits.go", Old: "\tif home == nil {\n\t\tgrant", New: "\tif home == nil || true {\n\t\tgrant",
+		Name: "each gateway grants itself permits", File: "internal/core/gateway/limits.go", Old: "\tif owner == nil {\n\t\tgrant", New: "\tif owner == nil || true {\n\t\tgrant",
 		Package: "internal/core/gateway", Test: "TestLimitHoldsOverAllGateways", Says: "may come",
 	},
 	{
@@ -211,12 +211,12 @@
 		Package: "internal/core/presence", Test: "TestRecordsThatChangeWhileTheyAreTaken", Says: "malformed",
 	},
 	{
-		Name: "a gateway that is behind refuses", File: "internal/core/gateway/refusal.go",
+		Name: "a gateway refuses although it knows of a newer configuration", File: "internal/core/gateway/refusal.go",
 		Old: "return age < maxConfirmedAge && !g.isBehind()", New: "return age < maxConfirmedAge",
 		Package: "internal/core/gateway", Test: "TestNoRefusalByAVersionThatIsKnownToBeOld", Says: "answered 401",
 	},
 	{
-		Name: "a gateway refuses by an old proof", File: "internal/core/gateway/refusal.go",
+		Name: "a gateway refuses by a configuration confirmed too long ago", File: "internal/core/gateway/refusal.go",
 		Old: "return age < maxConfirmedAge && ", New: "return age < 1000*maxConfirmedAge && ",
 		Package: "internal/core/gateway", Test: "TestNoRefusalWithoutProof", Says: "answered 401",
 	},
@@ -226,8 +226,8 @@
 		Package: "internal/core/watch", Test: "TestLongReadsBeginAnewAfterALoss", Says: "not seen",
 	},
 	{
-		Name: "the age of a proof is not counted over a hop", File: "internal/core/gateway/revalidate.go",
-		Old: "at := asked.Add(-told.Age)", New: "at := asked",
+		Name: "the age in an answer is not subtracted", File: "internal/core/gateway/revalidate.go",
+		Old: "asOf := asked.Add(-answer.Age)", New: "asOf := asked",
 		Package: "internal/core/gateway", Test: "TestNoProofIsNewerThanTheLastRead", Says: "after the store went silent",
 	},
 	{
@@ -240,7 +240,7 @@
 		Package: "internal/core/watch", Test: "TestSlowStoreIsNotLost", Says: "not lost",
 	},
 	{
-		Name: "a gateway that starts believes a store that is behind", File: "internal/core/gateway/follow.go", Old: "\tg.checkPeersForNewer(newest.Version)\n", New: "",
+		Name: "a starting gateway does not check other gateways for a newer configuration", File: "internal/core/gateway/follow.go", Old: "\tg.checkPeersForNewer(newest.Version)\n", New: "",
 		Package: "internal/core/gateway", Test: "TestStartAfterADrillUsesNoOlderConfiguration", Says: "taken away",
 	},
 }
