--- a/internal/core/fleet/group_test.go
+++ b/internal/core/fleet/group_test.go
@@ -36,8 +36,8 @@
 	}{
 		"both even":       {[]fleet.Load{even, even}, 2 * 4 * 12},
 		"one uneven":      {[]fleet.Load{even, uneven}, 4*12 + 4*4 + 1},
-		"one closed":      {[]fleet.Load{even, {Closed: true}}, 4 * 12},
-		"all three apart": {[]fleet.Load{even, uneven, {Closed: true}}, 4*12 + 4*4 + 1},
+		"one closed":      {[]fleet.Load{even, {GroupDown: true}}, 4 * 12},
+		"all three apart": {[]fleet.Load{even, uneven, {GroupDown: true}}, 4*12 + 4*4 + 1},
 	} {
 		if got := taken(groups(now, x.loads...), 0, now); got != x.want {
 			t.Errorf("%s: %d requests, want %d", name, got, x.want)
@@ -52,7 +52,7 @@
 	table := groups(now, fleet.Load{Forecast: fleet.Forecast{Skew: 1, Number: 1}}, fleet.Load{Forecast: fleet.Forecast{Skew: 3, Number: 1}})
 	sent := map[string]int{}
 	for range 40 {
-		l := table.Pick(&fleet.Query{Service: grouped, Gap: usefulGap, Now: now})
+		l := table.Pick(&fleet.Query{Service: grouped, MaxGap: usefulGap, Now: now})
 		sent[l.Replica.Group]++
 	}
 	// The work of the second takes 0.15 + 0.85 * 3 = 2.7 times as long.
--- a/internal/core/fleet/limited_group_test.go
+++ b/internal/core/fleet/limited_group_test.go
@@ -17,7 +17,7 @@
 	table := group(4, fleet.Load{Running: 2, Pass: 30 * time.Millisecond, Forecast: fleet.Forecast{Skew: 2.2, Number: 1}}, now)
 	for i := range limited {
 		life := catalog.Life{ID: catalog.ReplicaID(rune('a' + i))}
-		table.Told(&quota.Told{Key: quota.KeyOf(life), Holds: true, Rate: rate}, now)
+		table.ApplyNotice(&quota.Told{Key: quota.KeyOf(life), Holds: true, Rate: rate}, now)
 	}
 	return table
 }
@@ -48,7 +48,7 @@
 				id := catalog.ReplicaID(rune('a' + i))
 				table.Report(replica(id).Address, fleet.Load{Running: 1, Pass: 30 * time.Millisecond, Forecast: fleet.Forecast{Skew: 1.2, Number: 1}, Taken: time.Now()})
 			}
-			table.Watch(time.Now())
+			table.Sweep(time.Now())
 			if n >= come {
 				// Who waits is still looked after.
 				time.Sleep(25 * time.Millisecond)
@@ -56,8 +56,8 @@
 			}
 			wait.Go(func() {
 				now := time.Now()
-				q := &fleet.Query{Service: grouped, Gap: usefulGap, Now: now, Asked: now}
-				l := table.Acquire(context.Background(), q, fleet.Waiting{Aim: now.Add(500 * time.Millisecond), Last: now.Add(1500 * time.Millisecond)})
+				q := &fleet.Query{Service: grouped, MaxGap: usefulGap, Now: now, RequestedAt: now}
+				l := table.Acquire(context.Background(), q, fleet.WaitBounds{FirstEventBy: now.Add(500 * time.Millisecond), GiveUpAt: now.Add(1500 * time.Millisecond)})
 				mu.Lock()
 				defer mu.Unlock()
 				if l == nil {
@@ -72,7 +72,7 @@
 				if time.Since(now) > 500*time.Millisecond {
 					late++
 				}
-				l.Heard(time.Now())
+				l.RecordResponse(time.Now())
 				l.End(fleet.VerdictGood, time.Now())
 			})
 			time.Sleep(25 * time.Millisecond)
--- a/internal/core/fleet/spread.go
+++ b/internal/core/fleet/spread.go
@@ -43,4 +43,4 @@
 
 // period is the time between two reports of an engine: how long the requests of
 // other gateways are not seen.
-func (t *Table) period() time.Duration { return presence.DigestPeriod(t.peers) }
+func (t *Table) period() time.Duration { return presence.ReportInterval(t.peers) }
--- a/internal/core/gateway/follow.go
+++ b/internal/core/gateway/follow.go
@@ -39,9 +39,9 @@
 func (g *Gateway) followSettings(ctx context.Context) {
 	g.awaitMembers(ctx)
 	f := watch.Follower{
-		Store: g.Store, Topic: graniteknot.TopicSettings, Health: &g.Health, Clock: g.Clock, WaitNow: g.readWait, Spacing: settingsReadSpacing,
-		Newest: g.applySettings, Next: g.applySettings, Revalidate: g.revalidateSettings, Elsewhere: g.fetchSettingsFromPeer, RevalidatePause: revalidatePause, Early: true,
-		Renewed: func(graniteknot.Era) { g.Catalog.Renew() }, Vital: true, Wake: g.settingsWake,
+		Store: g.Store, Topic: graniteknot.TopicSettings, Health: &g.Health, Clock: g.Clock, PollWaitFunc: g.readWait, MinReadInterval: settingsReadSpacing,
+		OnNewest: g.applySettings, OnNext: g.applySettings, Revalidate: g.revalidateSettings, FetchFromPeer: g.fetchSettingsFromPeer, RevalidateInterval: revalidatePause, RevalidateFirst: true,
+		OnRestore: func(graniteknot.Era) { g.Catalog.Renew() }, DetectLoss: true, Wake: g.settingsWake,
 	}
 	f.Run(ctx)
 }
@@ -148,9 +148,9 @@
 func (g *Gateway) followReplicas(ctx context.Context) {
 	g.awaitMembers(ctx)
 	f := watch.Follower{
-		Store: g.Store, Topic: graniteknot.TopicReplicas, Health: &g.Health, Clock: g.Clock, Pause: time.Duration(replicasPauseShare * float64(g.Config.Drain)),
-		Newest: g.replaceReplicas, Next: g.applyReplicas, Revalidate: g.revalidateReplicas, Elsewhere: g.fetchReplicasFromPeer, RevalidatePause: revalidatePause, Early: true,
-		Urgent: func() bool { return g.Fleet.Doubted(g.Clock.Now()) }, Vital: true, Wake: g.replicasWake,
+		Store: g.Store, Topic: graniteknot.TopicReplicas, Health: &g.Health, Clock: g.Clock, ReadPause: time.Duration(replicasPauseShare * float64(g.Config.Drain)),
+		OnNewest: g.replaceReplicas, OnNext: g.applyReplicas, Revalidate: g.revalidateReplicas, FetchFromPeer: g.fetchReplicasFromPeer, RevalidateInterval: revalidatePause, RevalidateFirst: true,
+		ChangePending: func() bool { return g.Fleet.RecordsStale(g.Clock.Now()) }, DetectLoss: true, Wake: g.replicasWake,
 	}
 	f.Run(ctx)
 }
@@ -238,8 +238,8 @@
 // handleVanished handles a replica record that has vanished. During a store outage, and shortly
 // after, records also expire of replicas that are alive and will write them again.
 func (g *Gateway) handleVanished(id catalog.ReplicaID) {
-	if g.Health.Doubtful(g.Clock.Now(), outageGrace) {
-		if g.Fleet.Lapse(id, g.Clock.Now()) {
+	if g.Health.RecentOutage(g.Clock.Now(), outageGrace) {
+		if g.Fleet.MarkLapsed(id, g.Clock.Now()) {
 			g.Log.Info("replica lapsed", slog.String("replica", string(id)))
 		}
 		return
@@ -258,8 +258,8 @@
 // checkAges removes replicas that did not come back after a store outage, and logs when the
 // configuration becomes too old to trust keys, or recent enough again.
 func (g *Gateway) checkAges() {
-	if back, up := g.Health.Back(); up {
-		for _, id := range g.Fleet.Expire(back, g.Clock.Now()) {
+	if back, up := g.Health.UpSince(); up {
+		for _, id := range g.Fleet.RemoveLapsed(back, g.Clock.Now()) {
 			g.recordCache.dropReplica(string(id))
 			g.Log.Info("replica gone", slog.String("replica", string(id)), slog.Bool("lapsed", true))
 		}
@@ -279,13 +279,13 @@
 func (g *Gateway) checkSilence() {
 	g.sendLimits()
 	g.announceStoreLoss()
-	g.Forwarder.Expire()
-	changed, stuck := g.Fleet.Watch(g.Clock.Now())
+	g.Forwarder.CancelExpired()
+	changed, stuck := g.Fleet.Sweep(g.Clock.Now())
 	for _, c := range changed {
 		g.Log.Warn("replica silent", slog.String("replica", string(c.Replica)), slog.Bool("silent", c.Silent),
-			eventlog.Milliseconds("unheard", c.Unheard), slog.Int("stuck", len(stuck)))
+			eventlog.Milliseconds("unheard", c.SilentFor), slog.Int("stuck", len(stuck)))
 	}
 	for _, l := range stuck {
-		l.Move()
+		l.Reroute()
 	}
 }
--- a/internal/core/gateway/freshness.go
+++ b/internal/core/gateway/freshness.go
@@ -21,17 +21,17 @@
 	preferred    int
 	preferredSet bool
 	// probedAt is when each topic was last read, or tried to be read, during a store outage.
-	probedAt map[presence.Kind]time.Time
+	probedAt map[presence.QueryKind]time.Time
 	// unconfirmedSince is since when the readers answer without confirming a topic.
-	unconfirmedSince map[presence.Kind]time.Time
+	unconfirmedSince map[presence.QueryKind]time.Time
 }
 
 // probeDue reports whether to call a store again that does not answer, and if so records the call.
-func (f *freshness) probeDue(kind presence.Kind, period time.Duration, now time.Time) bool {
+func (f *freshness) probeDue(kind presence.QueryKind, period time.Duration, now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.probedAt == nil {
-		f.probedAt = map[presence.Kind]time.Time{}
+		f.probedAt = map[presence.QueryKind]time.Time{}
 	}
 	if now.Sub(f.probedAt[kind]) < period {
 		return false
@@ -42,11 +42,11 @@
 
 // unconfirmedFor records whether the readers answer without confirming a topic, and returns for
 // how long.
-func (f *freshness) unconfirmedFor(kind presence.Kind, unconfirmed bool, now time.Time) time.Duration {
+func (f *freshness) unconfirmedFor(kind presence.QueryKind, unconfirmed bool, now time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.unconfirmedSince == nil {
-		f.unconfirmedSince = map[presence.Kind]time.Time{}
+		f.unconfirmedSince = map[presence.QueryKind]time.Time{}
 	}
 	if !unconfirmed {
 		delete(f.unconfirmedSince, kind)
--- a/internal/core/gateway/gateway.go
+++ b/internal/core/gateway/gateway.go
@@ -70,7 +70,7 @@
 
 	socket *presence.Socket
 	// discovery learns of other processes from gateways.
-	discovery presence.Census
+	discovery presence.MemberSync
 	// membersLoaded is closed once the member records were read, or reading them failed.
 	// unregistered is set before, if the store has no record of this gateway.
 	membersLoaded chan struct{}
@@ -88,7 +88,7 @@
 	// limitsPending signals that limit messages are waiting to be sent.
 	limitsPending chan struct{}
 	// quarantinePacks holds the quarantine snapshots that other gateways are fetching.
-	quarantinePacks presence.Shelf
+	quarantinePacks presence.PackCache
 	// quarantineReplication tracks which quarantine entries peers and the store have.
 	quarantineReplication replicationState
 	// bundler collects what this gateway forwards as a relay. relaying is set while it is one, and
@@ -127,7 +127,7 @@
 	if o.Network == nil {
 		o.Network = hostnet.Network{}
 	}
-	o.Store = &watch.Metered{Store: o.Store, Meter: o.Meter}
+	o.Store = &watch.MeteredStore{Store: o.Store, Meter: o.Meter}
 	g := &Gateway{
 		Options: o, membersLoaded: make(chan struct{}), configNeeded: make(chan struct{}), limitsPending: make(chan struct{}, 1),
 		settingsWake: make(chan struct{}, 1), replicasWake: make(chan struct{}, 1),
@@ -139,12 +139,12 @@
 	g.Health.Log = o.Log
 	g.Fleet.Clock, g.Pool.Clock = o.Clock, o.Clock
 	g.Forwarder = forward.Forwarder{
-		Dialect: o.Translator, Pool: &g.Pool, Fleet: &g.Fleet, Log: o.Log, Meter: o.Meter, Zone: o.Config.Zone,
-		Clock: o.Clock, Fresh: g.keysFresh, ConnLimit: g.connLimit, Quarantine: &g.Quarantine,
-		Budgets: &forward.Budgets{Percent: g.retryPercent, Burst: g.retryBurst},
+		Codec: o.Translator, Pool: &g.Pool, Fleet: &g.Fleet, Log: o.Log, Meter: o.Meter, Zone: o.Config.Zone,
+		Clock: o.Clock, ConfigFresh: g.keysFresh, ConnLimit: g.connLimit, Quarantine: &g.Quarantine,
+		RetryBudgets: &forward.RetryBudgets{Percent: g.retryPercent, Burst: g.retryBurst},
 	}
-	g.Quarantine.Changed = g.onQuarantineChange
-	g.Fleet.OnOutbox(quota.BoxOf(o.Config.Box), g.signalLimits)
+	g.Quarantine.OnChange = g.onQuarantineChange
+	g.Fleet.NotifyOutbox(quota.BoxOf(o.Config.Box), g.signalLimits)
 	return g
 }
 
@@ -157,8 +157,8 @@
 	}
 	g.startedAt = g.Clock.Now()
 	g.socket = presence.NewSocket(conn, c.Box, g.Incarnation, g.Log, g.receive)
-	g.discovery = presence.Census{Socket: g.socket, View: &g.Members, Self: g.self(), From: g.readerAddresses, Clock: g.Clock}
-	g.socket.Respond(g.answerPeer)
+	g.discovery = presence.MemberSync{Socket: g.socket, View: &g.Members, Self: g.self(), Sources: g.readerAddresses, Clock: g.Clock}
+	g.socket.HandleQueries(g.answerPeer)
 	if err := g.listen(ctx); err != nil {
 		return err
 	}
@@ -179,12 +179,12 @@
 	g.group.Go(g.relayOnWake)
 	registrar := &presence.Registrar{
 		Store: g.Store, Self: g.self(), View: &g.Members, Health: &g.Health, Log: g.Log, Clock: g.Clock,
-		Joined: g.sendHeartbeatTo, Elsewhere: g.discoverMembers, Met: g.onMembersLoaded,
+		OnJoin: g.sendHeartbeatTo, SyncFromPeer: g.discoverMembers, OnFirstRead: g.onMembersLoaded,
 	}
 	g.group.Go(registrar.Register)
 	g.group.Go(registrar.Follow)
-	g.runEvery(presence.Period, g.sendHeartbeat)
-	g.runEvery(presence.BundlePeriod, g.relayBundles)
+	g.runEvery(presence.HeartbeatInterval, g.sendHeartbeat)
+	g.runEvery(presence.BundleInterval, g.relayBundles)
 	g.runEvery(sweepPeriod, g.Pool.Sweep)
 	g.runEvery(ageCheckPeriod, g.checkAges)
 	g.runEvery(silenceCheckPeriod, g.checkSilence)
@@ -199,8 +199,8 @@
 func (g *Gateway) self() presence.Member {
 	c := g.Config
 	return presence.Member{
-		Box: c.Box, Role: presence.RoleGateway, Zone: c.Zone, Peers: c.Peers, Requests: c.Requests, Born: g.Incarnation,
-		Link: c.Link,
+		Box: c.Box, Role: presence.RoleGateway, Zone: c.Zone, PeerAddress: c.Peers, RequestAddress: c.Requests, Incarnation: g.Incarnation,
+		LinkRate: c.Link,
 	}
 }
 
@@ -229,7 +229,7 @@
 	if age < g.maxKeyAge() {
 		return true
 	}
-	return g.reloadable.Load().KeysUnproved && uint64(tree.Version) >= g.Members.NewestSettings()
+	return g.reloadable.Load().KeysUnproved && uint64(tree.Version) >= g.Members.NewestConfigVersion()
 }
 
 // gatewayCount is the number of gateways that limits are divided by, including gatewayHeadroom.
--- a/internal/core/gateway/heartbeat.go
+++ b/internal/core/gateway/heartbeat.go
@@ -16,22 +16,22 @@
 // processes every presence.RelayPeriod, so that they know whom to report to.
 func (g *Gateway) sendHeartbeat() {
 	now := g.Clock.Now()
-	relaying := g.Members.Relaying(g.self(), !g.leaving.Load(), now)
+	relaying := g.Members.UpdateRelaying(g.self(), !g.leaving.Load(), now)
 	if g.relaying.Swap(relaying) != relaying {
 		g.Log.Info("relay", slog.Bool("relaying", relaying))
 	}
-	to := g.Members.Audience(g.Config.Box, now)
-	if relaying && now.Sub(g.relayAnnouncedAt) >= presence.RelayPeriod {
+	to := g.Members.DirectGateways(g.Config.Box, now)
+	if relaying && now.Sub(g.relayAnnouncedAt) >= presence.RelayAnnounceInterval {
 		g.relayAnnouncedAt = now
 		to = g.allPeers()
 	}
 	g.socket.Send(g.heartbeat(), to)
-	g.Fleet.Share(len(g.Members.Alive(presence.RoleGateway, g.Config.Box, now)) + 1)
+	g.Fleet.SetGateways(len(g.Members.ReadyMembers(presence.RoleGateway, g.Config.Box, now)) + 1)
 }
 
 // sendHeartbeatTo sends a heartbeat and the limits that this gateway owns to a new member.
 func (g *Gateway) sendHeartbeatTo(m presence.Member) {
-	g.socket.Send(g.heartbeat(), []graniteknot.Address{m.Peers})
+	g.socket.Send(g.heartbeat(), []graniteknot.Address{m.PeerAddress})
 	g.sendOwnedLimits(&m)
 }
 
@@ -97,14 +97,14 @@
 
 // discoverMembers learns from readers which processes exist; the readers read the store.
 func (g *Gateway) discoverMembers(ctx context.Context) bool {
-	return len(g.readersToAsk(g.Clock.Now())) > 0 && g.discovery.Ask(ctx)
+	return len(g.readersToAsk(g.Clock.Now())) > 0 && g.discovery.Sync(ctx)
 }
 
 // heartbeat returns the message that describes this gateway's state.
 func (g *Gateway) heartbeat() presence.Message {
 	self := g.self()
-	m := presence.Message{Ready: g.ready(), Self: &self, Relay: g.relaying.Load(), Quarantine: g.Quarantine.Digest(), Lost: g.storeLost.Load()}
-	m.Settings = g.ownVersion()
+	m := presence.Message{Ready: g.ready(), Self: &self, Relay: g.relaying.Load(), QuarantineDigest: g.Quarantine.Digest(), StoreLost: g.storeLost.Load()}
+	m.ConfigVersion = g.ownVersion()
 	return m
 }
 
@@ -121,7 +121,7 @@
 	var to []graniteknot.Address
 	for _, role := range []presence.Role{presence.RoleGateway, presence.RoleSidecar} {
 		for _, m := range g.Members.Members(role, g.Config.Box) {
-			to = append(to, m.Peers)
+			to = append(to, m.PeerAddress)
 		}
 	}
 	return to
@@ -142,13 +142,13 @@
 // relayBundles sends what was received since the last bundle to the gateways of the zone, if this
 // gateway is a relay.
 func (g *Gateway) relayBundles() {
-	bundles := g.bundler.Bundles(g.Clock.Now())
+	bundles := g.bundler.Flush(g.Clock.Now())
 	if !g.relaying.Load() {
 		return
 	}
-	to := g.Members.InZone(g.self())
+	to := g.Members.ZoneGateways(g.self())
 	for i := range bundles {
-		g.socket.Send(presence.Message{Ready: g.ready(), Relay: true, Settings: g.ownVersion(), Lost: g.storeLost.Load(), Bundle: &bundles[i]}, to)
+		g.socket.Send(presence.Message{Ready: g.ready(), Relay: true, ConfigVersion: g.ownVersion(), StoreLost: g.storeLost.Load(), Bundle: &bundles[i]}, to)
 	}
 }
 
@@ -159,7 +159,7 @@
 		g.receiveBundle(m, now)
 		return
 	}
-	if m.Quarantined != nil {
+	if m.QuarantineRecords != nil {
 		g.receiveQuarantine(m, now)
 		return
 	}
@@ -167,12 +167,12 @@
 		g.receiveQuota(m, now)
 		return
 	}
-	if g.Members.Heard(m, now) {
+	if g.Members.ApplyMessage(m, now) {
 		g.sendOwnedLimits(m.Self)
 	}
-	g.observeVersion(versionNotice{catalog.Version(m.Settings), m.Box, true}, now)
+	g.observeVersion(versionNotice{catalog.Version(m.ConfigVersion), m.Box, true}, now)
 	g.checkReaderLosses()
-	g.bundler.Take(m, now)
+	g.bundler.Add(m, now)
 	if m.Self != nil {
 		g.fetchQuarantine(m)
 	}
@@ -183,24 +183,24 @@
 
 // receiveBundle handles a relay's bundle.
 func (g *Gateway) receiveBundle(m *presence.Message, now time.Time) {
-	g.Members.Told(m, now)
-	g.observeVersion(versionNotice{catalog.Version(m.Settings), m.Box, true}, now)
-	g.observeVersion(versionNotice{catalog.Version(m.Bundle.Settings), m.Box, false}, now)
+	g.Members.ApplyBundle(m, now)
+	g.observeVersion(versionNotice{catalog.Version(m.ConfigVersion), m.Box, true}, now)
+	g.observeVersion(versionNotice{catalog.Version(m.Bundle.ConfigVersion), m.Box, false}, now)
 	g.checkReaderLosses()
 	for i := range m.Bundle.Reports {
 		r := &m.Bundle.Reports[i]
-		d := m.Bundle.Digest(r)
-		l := loadOf(&d, now.Add(-time.Duration(r.Age)*time.Millisecond))
+		d := m.Bundle.LoadReport(r)
+		l := loadOf(&d, now.Add(-time.Duration(r.AgeMillis)*time.Millisecond))
 		l.Relayed = true
 		g.Fleet.Report(d.Target, l)
 	}
 }
 
 // loadOf returns the load of a replica that its sidecar measured at the given time.
-func loadOf(d *presence.Digest, taken time.Time) fleet.Load {
+func loadOf(d *presence.LoadReport, taken time.Time) fleet.Load {
 	return fleet.Load{
 		Running: d.Running, Waiting: d.Waiting, Pace: float64(d.Pace),
-		Pass: time.Duration(d.Pass) * time.Microsecond, Closed: !d.Open, Taken: taken, Life: d.Life,
-		Forecast: fleet.Forecast{Skew: float64(d.Skew), Loading: d.Loading, Number: d.Forecast},
+		Pass: time.Duration(d.PassMicros) * time.Microsecond, GroupDown: !d.GroupOpen, Taken: taken, Life: d.LifeMark,
+		Forecast: fleet.Forecast{Skew: float64(d.Skew), Loading: d.Loading, Number: d.ForecastSequence},
 	}
 }
--- a/internal/core/gateway/limits.go
+++ b/internal/core/gateway/limits.go
@@ -48,11 +48,11 @@
 // sendLimits sends the waiting limit reports and asks for permits.
 func (g *Gateway) sendLimits() {
 	now := g.Clock.Now()
-	reports, asks := g.Fleet.Outbox(now)
+	reports, asks := g.Fleet.DrainOutbox(now)
 	if len(reports) > 0 {
-		g.sendLimitReports(reports, g.Members.Audience(g.Config.Box, now))
+		g.sendLimitReports(reports, g.Members.DirectGateways(g.Config.Box, now))
 		if g.relaying.Load() {
-			g.sendLimitReports(reports, g.Members.InZone(g.self()))
+			g.sendLimitReports(reports, g.Members.ZoneGateways(g.self()))
 		}
 	}
 	for i := range asks {
@@ -82,11 +82,11 @@
 }
 
 // requestPermits asks a limit's owner for permits.
-func (g *Gateway) requestPermits(ask *fleet.LimitAsk, now time.Time) {
+func (g *Gateway) requestPermits(ask *fleet.PermitRequest, now time.Time) {
 	life := ask.Key.Life()
-	owner := g.limitOwner(life, ask.Silent/maxUnansweredAsks, now)
+	owner := g.limitOwner(life, ask.Unanswered/maxUnansweredAsks, now)
 	g.countLimit("graniteknot_limit_asks_total", "sent", 1)
-	if ask.Silent > 0 {
+	if ask.Unanswered > 0 {
 		g.countLimit("graniteknot_limit_asks_total", "unanswered", 1)
 	}
 	if owner == nil {
@@ -94,13 +94,13 @@
 		g.applyGrant(&grant, now)
 		return
 	}
-	g.sendQuota(&quota.Message{Asks: []quota.Ask{ask.Ask}}, []graniteknot.Address{owner.Peers})
+	g.sendQuota(&quota.Message{Asks: []quota.Ask{ask.Ask}}, []graniteknot.Address{owner.PeerAddress})
 }
 
 // limitOwner returns the gateway that owns a limit, or the next candidate after skip others; nil
 // for this one.
 func (g *Gateway) limitOwner(life catalog.Life, skip int, now time.Time) *presence.Member {
-	list := g.Members.Alive(presence.RoleGateway, g.Config.Box, now)
+	list := g.Members.ReadyMembers(presence.RoleGateway, g.Config.Box, now)
 	list = append(list, g.self())
 	name := life.String()
 	for ; skip%len(list) > 0; skip-- {
@@ -131,7 +131,7 @@
 		g.applyLimitReport(&ask.Told[i], now)
 	}
 	life := ask.Key.Life()
-	rate, limited, reports := g.Fleet.Takes(life, now)
+	rate, limited, reports := g.Fleet.LimitOf(life, now)
 	grant := quota.Grant{Key: ask.Key}
 	if limited {
 		grant = g.Limits.Deal(now, life, rate, box, ask.Want)
@@ -143,7 +143,7 @@
 
 // applyGrant applies permits granted to this gateway.
 func (g *Gateway) applyGrant(grant *quota.Grant, now time.Time) {
-	if g.Fleet.Granted(grant, now) {
+	if g.Fleet.ApplyGrant(grant, now) {
 		g.countLimit("graniteknot_limit_permits_total", "granted", grant.Count)
 	}
 }
@@ -163,14 +163,14 @@
 		}
 	}
 	if g.relaying.Load() {
-		g.sendLimitReports(updated, g.Members.InZone(g.self()))
+		g.sendLimitReports(updated, g.Members.ZoneGateways(g.self()))
 	}
 	for i := range message.Grants {
 		g.applyGrant(&message.Grants[i], now)
 	}
 	for i := range message.Asks {
 		grant := g.grantPermits(&message.Asks[i], m.Box, now)
-		if to, known := g.Members.Peers(m.Box); known {
+		if to, known := g.Members.PeerAddress(m.Box); known {
 			g.sendQuota(&quota.Message{Grants: []quota.Grant{grant}}, []graniteknot.Address{to})
 		}
 	}
@@ -178,7 +178,7 @@
 
 // applyLimitReport applies another gateway's report of a limit, and returns whether it is new.
 func (g *Gateway) applyLimitReport(report *quota.Told, now time.Time) bool {
-	if !g.Fleet.Told(report, now) {
+	if !g.Fleet.ApplyNotice(report, now) {
 		return false
 	}
 	g.Log.Info("replica told", slog.String("replica", report.Key.Life().String()), slog.String("subject", report.Subject.String()),
@@ -203,7 +203,7 @@
 			owned = append(owned, report)
 		}
 	}
-	g.sendLimitReports(owned, []graniteknot.Address{m.Peers})
+	g.sendLimitReports(owned, []graniteknot.Address{m.PeerAddress})
 }
 
 func (g *Gateway) countLimit(name, what string, n int) {
--- a/internal/core/gateway/peer_versions.go
+++ b/internal/core/gateway/peer_versions.go
@@ -176,7 +176,7 @@
 		return true
 	}
 	if box, ok := g.peerVersions.holderNewerThan(catalog.Version(own)); ok {
-		if peers, known := g.Members.Peers(box); known && g.fetchNewerFrom(ctx, presence.Member{Box: box, Peers: peers}, own) {
+		if peers, known := g.Members.PeerAddress(box); known && g.fetchNewerFrom(ctx, presence.Member{Box: box, PeerAddress: peers}, own) {
 			return true
 		}
 	}
@@ -197,11 +197,11 @@
 // fetchNewerFrom fetches the configuration of a gateway if it is newer than own.
 func (g *Gateway) fetchNewerFrom(ctx context.Context, m presence.Member, own uint64) bool {
 	asked := g.Clock.Now()
-	answer, err := g.askPeer(ctx, m.Peers, querySettings)
+	answer, err := g.askPeer(ctx, m.PeerAddress, querySettings)
 	if err != nil || answer.State <= own {
 		return false
 	}
-	c := confirmation{peer: m, Standing: answer, asOf: asked.Add(-answer.Age)}
+	c := confirmation{peer: m, TopicStatus: answer, asOf: asked.Add(-answer.Age)}
 	records, ok := g.fetchRecords(ctx, &c, querySettingsPart)
 	if !ok {
 		return false
@@ -219,7 +219,7 @@
 		return
 	}
 	if from == g.ownSource() {
-		g.socket.Send(g.heartbeat(), g.Members.Audience(g.Config.Box, now))
+		g.socket.Send(g.heartbeat(), g.Members.DirectGateways(g.Config.Box, now))
 	}
 	wake(g.relayWake)
 }
--- a/internal/core/gateway/quarantine.go
+++ b/internal/core/gateway/quarantine.go
@@ -20,7 +20,7 @@
 
 const (
 	// queryQuarantinePart requests a part of the known entries.
-	queryQuarantinePart presence.Kind = 22
+	queryQuarantinePart presence.QueryKind = 22
 	// maxEntriesPerDatagram is how many entries, of at most 45 bytes each, one datagram holds.
 	maxEntriesPerDatagram = 20
 	// quarantineReadWait is how long a read of the records long-polls for a change.
@@ -43,21 +43,21 @@
 func (g *Gateway) onQuarantineChange(e quarantine.Entry) {
 	g.logQuarantined(&e)
 	g.quarantineReplication.scheduleWrite(&e, g.Clock.Now())
-	g.sendQuarantine([]quarantine.Entry{e}, g.Members.Audience(g.Config.Box, g.Clock.Now()))
+	g.sendQuarantine([]quarantine.Entry{e}, g.Members.DirectGateways(g.Config.Box, g.Clock.Now()))
 	if g.relaying.Load() {
-		g.sendQuarantine([]quarantine.Entry{e}, g.Members.InZone(g.self()))
+		g.sendQuarantine([]quarantine.Entry{e}, g.Members.ZoneGateways(g.self()))
 	}
 }
 
 // logQuarantined logs that a request is quarantined, suspected or released.
 func (g *Gateway) logQuarantined(e *quarantine.Entry) {
 	switch {
-	case e.Blocks():
-		g.Log.Warn("request quarantined", slog.String("identity", e.Key.String()), slog.Int("replicas", len(e.Lives)))
+	case e.Quarantined():
+		g.Log.Warn("request quarantined", slog.String("identity", e.Key.String()), slog.Int("replicas", len(e.CrashedReplicas)))
 	case e.Suspect && !e.Released:
 		g.Log.Warn("request suspected", slog.String("identity", e.Key.String()))
 	case e.Released:
-		g.Log.Info("request released", slog.String("identity", e.Key.String()), slog.Int("replicas", len(e.Lives)))
+		g.Log.Info("request released", slog.String("identity", e.Key.String()), slog.Int("replicas", len(e.CrashedReplicas)))
 	}
 }
 
@@ -68,19 +68,19 @@
 		g.Log.Warn("quarantine entries not sent", slog.String("error", err.Error()))
 		return
 	}
-	g.socket.Send(presence.Message{Quarantined: body}, to)
+	g.socket.Send(presence.Message{QuarantineRecords: body}, to)
 }
 
 // receiveQuarantine merges entries that another gateway sent; a relay forwards the new ones.
 func (g *Gateway) receiveQuarantine(m *presence.Message, now time.Time) {
-	entries, err := quarantine.Decode(m.Quarantined)
+	entries, err := quarantine.Decode(m.QuarantineRecords)
 	if err != nil {
 		g.Log.Warn("malformed quarantine entries", slog.String("peer", string(m.Box)), slog.String("error", err.Error()))
 		return
 	}
 	changed := g.mergeQuarantine(entries, now)
 	if len(changed) > 0 && g.relaying.Load() {
-		g.sendQuarantine(changed, g.Members.InZone(g.self()))
+		g.sendQuarantine(changed, g.Members.ZoneGateways(g.self()))
 	}
 }
 
@@ -103,10 +103,10 @@
 
 // fetchQuarantine fetches another gateway's entries if its digest differs from this gateway's.
 func (g *Gateway) fetchQuarantine(m *presence.Message) {
-	if m.Quarantine == 0 || m.Quarantine == g.Quarantine.Digest() || !g.quarantineReplication.digestChanged(m.Box, m.Quarantine) {
+	if m.QuarantineDigest == 0 || m.QuarantineDigest == g.Quarantine.Digest() || !g.quarantineReplication.digestChanged(m.Box, m.QuarantineDigest) {
 		return
 	}
-	box, from := m.Box, m.Self.Peers
+	box, from := m.Box, m.Self.PeerAddress
 	g.group.Go(func(ctx context.Context) {
 		records, err := g.socket.Fetch(ctx, from, queryQuarantinePart)
 		if err != nil {
@@ -122,14 +122,14 @@
 			}
 			changed := g.mergeQuarantine(entries, now)
 			if len(changed) > 0 && g.relaying.Load() {
-				g.sendQuarantine(changed, g.Members.InZone(g.self()))
+				g.sendQuarantine(changed, g.Members.ZoneGateways(g.self()))
 			}
 		}
 	})
 }
 
 // packQuarantine packs all entries into records of up to maxEntriesPerDatagram entries.
-func (g *Gateway) packQuarantine() (presence.Packed, error) {
+func (g *Gateway) packQuarantine() (presence.PackedRecords, error) {
 	var records []graniteknot.KeyedRecord
 	entries := g.Quarantine.Entries(g.Clock.Now())
 	for len(entries) > 0 {
@@ -140,7 +140,7 @@
 		}
 		records, entries = append(records, graniteknot.KeyedRecord{Value: value}), entries[n:]
 	}
-	return presence.Pack(records)
+	return presence.PackRecords(records)
 }
 
 // followQuarantine follows the records in the store. In a large deployment only the first readers
@@ -148,10 +148,10 @@
 func (g *Gateway) followQuarantine(ctx context.Context) {
 	g.awaitMembers(ctx)
 	f := watch.Follower{
-		Store: g.Store, Topic: graniteknot.TopicQuarantine, Health: &g.Health, Clock: g.Clock, Wait: quarantineReadWait, Spacing: quarantineReadSpacing,
-		Newest: g.applyQuarantineRecords, Next: g.applyQuarantineRecords, Early: true, RevalidatePause: quarantineReaderCheck,
+		Store: g.Store, Topic: graniteknot.TopicQuarantine, Health: &g.Health, Clock: g.Clock, PollWait: quarantineReadWait, MinReadInterval: quarantineReadSpacing,
+		OnNewest: g.applyQuarantineRecords, OnNext: g.applyQuarantineRecords, RevalidateFirst: true, RevalidateInterval: quarantineReaderCheck,
 		Revalidate: func(context.Context) bool { return !g.readsQuarantine(g.Clock.Now()) },
-		Renewed:    func(graniteknot.Era) { g.rewriteQuarantine() },
+		OnRestore:  func(graniteknot.Era) { g.rewriteQuarantine() },
 	}
 	f.Run(ctx)
 }
@@ -176,13 +176,13 @@
 func (g *Gateway) applyQuarantineRecords(records []graniteknot.KeyedRecord, _ time.Time) {
 	now := g.Clock.Now()
 	for _, r := range records {
-		e, err := quarantine.EntryOf(r)
+		e, err := quarantine.DecodeRecord(r)
 		if err != nil {
 			g.reportMalformed("quarantine", r, err)
 			continue
 		}
 		g.quarantineReplication.markStored(&e)
-		if own, known := g.Quarantine.Entry(e.Key, now); known && own.Released && e.Blocks() {
+		if own, known := g.Quarantine.Entry(e.Key, now); known && own.Released && e.Quarantined() {
 			// The record is from before the release, in a store restored from an older copy.
 			g.quarantineReplication.scheduleWrite(&own, now.Add(rand.N(quarantineWriteDelay)))
 		}
@@ -216,7 +216,7 @@
 	if !known {
 		e = quarantine.Entry{Key: k, Released: true}
 	}
-	r, err := quarantine.RecordOf(&e)
+	r, err := quarantine.EncodeRecord(&e)
 	if err == nil {
 		_, err = g.Store.Append(g.group.Context(), graniteknot.TopicQuarantine, r)
 	}
--- a/internal/core/gateway/quarantine_replication.go
+++ b/internal/core/gateway/quarantine_replication.go
@@ -29,7 +29,7 @@
 	if s.writeAt == nil {
 		s.writeAt = map[quarantine.Key]time.Time{}
 	}
-	if e.Blocks() != s.stored[e.Key] && (e.Blocks() || e.Released) {
+	if e.Quarantined() != s.stored[e.Key] && (e.Quarantined() || e.Released) {
 		s.writeAt[e.Key] = due
 	}
 }
@@ -42,7 +42,7 @@
 		s.stored = map[quarantine.Key]bool{}
 	}
 	delete(s.writeAt, e.Key)
-	if e.Blocks() {
+	if e.Quarantined() {
 		s.stored[e.Key] = true
 	} else {
 		delete(s.stored, e.Key)
--- a/internal/core/gateway/readers.go
+++ b/internal/core/gateway/readers.go
@@ -52,7 +52,7 @@
 // reader; nil in a small deployment.
 func (g *Gateway) allReaders(now time.Time) []presence.Member {
 	limit := g.Config.Readers
-	all := append(g.Members.Living(presence.RoleGateway, g.Config.Box, now), g.self())
+	all := append(g.Members.AliveMembers(presence.RoleGateway, g.Config.Box, now), g.self())
 	if limit == 0 || len(all) <= 2*limit {
 		return nil
 	}
@@ -60,7 +60,7 @@
 		if box == g.Config.Box {
 			return g.Health.Lost(now)
 		}
-		return g.Members.Lost(box)
+		return g.Members.StoreLost(box)
 	})[:limit]
 }
 
@@ -78,13 +78,13 @@
 		return
 	}
 	g.Log.Info("reads", slog.Bool("able", !lost))
-	g.socket.Send(g.heartbeat(), g.Members.Audience(g.Config.Box, g.Clock.Now()))
+	g.socket.Send(g.heartbeat(), g.Members.DirectGateways(g.Config.Box, g.Clock.Now()))
 }
 
 // checkReaderLosses relays at once, and makes a reader check whether it has to read, after another
 // gateway has lost access to the store or regained it.
 func (g *Gateway) checkReaderLosses() {
-	changes := g.Members.LostChanges()
+	changes := g.Members.StoreLostChanges()
 	if g.seenLossChanges.Swap(changes) == changes {
 		return
 	}
@@ -111,7 +111,7 @@
 func (g *Gateway) readerAddresses(now time.Time) []graniteknot.Address {
 	var out []graniteknot.Address
 	for _, m := range g.readersToAsk(now) {
-		out = append(out, m.Peers)
+		out = append(out, m.PeerAddress)
 	}
 	return out
 }
@@ -120,7 +120,7 @@
 // for all.
 func (g *Gateway) usesReaders(now time.Time) bool {
 	limit := g.Config.Readers
-	return limit > 0 && len(g.Members.Living(presence.RoleGateway, g.Config.Box, now))+1 > 2*limit
+	return limit > 0 && len(g.Members.AliveMembers(presence.RoleGateway, g.Config.Box, now))+1 > 2*limit
 }
 
 // isAmongFirstReaders reports whether this gateway is one of the first n readers.
@@ -135,16 +135,16 @@
 // state. In a large deployment, readers that answer without confirming anything have lost the
 // store, as most likely have all gateways. Then each gateway calls it only at intervals, since the
 // calls of all gateways add up.
-func (g *Gateway) shouldCallStore(kind presence.Kind, answered bool, now time.Time) bool {
+func (g *Gateway) shouldCallStore(kind presence.QueryKind, answered bool, now time.Time) bool {
 	if !g.usesReaders(now) {
 		return true
 	}
 	if g.isReader(now) {
-		_, up := g.Health.Back()
+		_, up := g.Health.UpSince()
 		return up || g.freshness.probeDue(kind, probePeriod, now)
 	}
 	unconfirmed := g.freshness.unconfirmedFor(kind, answered, now)
-	if _, up := g.Health.Back(); up && !answered {
+	if _, up := g.Health.UpSince(); up && !answered {
 		return true
 	}
 	return (!answered || unconfirmed > unconfirmedTimeout) && g.freshness.probeDue(kind, nonReaderProbePeriod, now)
@@ -152,10 +152,10 @@
 
 // peersToAsk returns the gateways to ask about a topic; nil if the store is to be read. A gateway
 // without access to the store asks those that may have it, and calls the store at intervals.
-func (g *Gateway) peersToAsk(kind presence.Kind, now time.Time) []presence.Member {
+func (g *Gateway) peersToAsk(kind presence.QueryKind, now time.Time) []presence.Member {
 	ahead := g.readersToAsk(now)
 	shared := g.usesReaders(now)
-	_, up := g.Health.Back()
+	_, up := g.Health.UpSince()
 	lost := g.Health.Lost(now)
 	switch {
 	case shared && !lost, !shared && up:
@@ -165,11 +165,11 @@
 	case shared:
 		return g.otherReaders(now)
 	}
-	return g.Members.Living(presence.RoleGateway, g.Config.Box, now)
+	return g.Members.AliveMembers(presence.RoleGateway, g.Config.Box, now)
 }
 
 // maxAnswerAge is the maximum age of an answer on a topic for this gateway.
-func (g *Gateway) maxAnswerAge(kind presence.Kind) time.Duration {
+func (g *Gateway) maxAnswerAge(kind presence.QueryKind) time.Duration {
 	now := g.Clock.Now()
 	reader := g.usesReaders(now) && g.isReader(now)
 	switch {
--- a/internal/core/gateway/refusal.go
+++ b/internal/core/gateway/refusal.go
@@ -41,7 +41,7 @@
 	if route == nil {
 		return access{}, denial{http.StatusNotFound, "no-route"}
 	}
-	account := tree.Account(r.Key)
+	account := tree.Account(r.APIKey)
 	if account == nil && tree.Tenanted && !route.Public {
 		return access{}, denial{http.StatusUnauthorized, "unknown-key"}
 	}
--- a/internal/core/gateway/revalidate.go
+++ b/internal/core/gateway/revalidate.go
@@ -38,8 +38,8 @@
 
 // Queries between gateways.
 const (
-	querySettings presence.Kind = 16
-	queryReplicas presence.Kind = 17
+	querySettings presence.QueryKind = 16
+	queryReplicas presence.QueryKind = 17
 )
 
 // errNotRead means that the queried gateway has not read the topic yet.
@@ -50,7 +50,7 @@
 	// peer is the reader that was asked; Standing is its answer, which confirms the state as of
 	// asOf.
 	peer presence.Member
-	readers.Standing
+	readers.TopicStatus
 	asOf time.Time
 	// unread is set if the reader has not read the topic yet.
 	unread bool
@@ -102,8 +102,8 @@
 	if !ok {
 		return !g.shouldCallStore(queryReplicas, c.answered, g.Clock.Now())
 	}
-	if c.Sound {
-		g.Health.Elsewhere(c.asOf)
+	if c.StoreHealthy {
+		g.Health.RecordPeerRead(c.asOf)
 	}
 	now := g.Clock.Now()
 	age, read := g.freshness.age(now)
@@ -125,8 +125,8 @@
 
 // fetchRecords fetches the records of a reader whose state differs. Otherwise nearly all gateways
 // would read all records from the store after each change.
-func (g *Gateway) fetchRecords(ctx context.Context, c *confirmation, kind presence.Kind) ([]graniteknot.KeyedRecord, bool) {
-	records, err := g.socket.Fetch(ctx, c.peer.Peers, kind)
+func (g *Gateway) fetchRecords(ctx context.Context, c *confirmation, kind presence.QueryKind) ([]graniteknot.KeyedRecord, bool) {
+	records, err := g.socket.Fetch(ctx, c.peer.PeerAddress, kind)
 	if err != nil {
 		g.Log.Warn("records of a reader", slog.String("reader", string(c.peer.Box)), slog.String("error", err.Error()))
 		return nil, false
@@ -137,7 +137,7 @@
 
 // askUntilRead asks readers for the state of a topic until one has read it, as after a start of
 // all gateways at once.
-func (g *Gateway) askUntilRead(ctx context.Context, peers []presence.Member, kind presence.Kind, maxAge time.Duration) (confirmation, bool) {
+func (g *Gateway) askUntilRead(ctx context.Context, peers []presence.Member, kind presence.QueryKind, maxAge time.Duration) (confirmation, bool) {
 	for {
 		c, ok := g.askReaders(ctx, peers, kind, maxAge)
 		if !c.unread {
@@ -152,13 +152,13 @@
 
 // askReaders asks readers in turn for the state of a topic, and returns it with the time as of
 // which it is confirmed; false if none has a recent enough state.
-func (g *Gateway) askReaders(ctx context.Context, peers []presence.Member, kind presence.Kind, maxAge time.Duration) (confirmation, bool) {
+func (g *Gateway) askReaders(ctx context.Context, peers []presence.Member, kind presence.QueryKind, maxAge time.Duration) (confirmation, bool) {
 	answered := false
 	first := g.freshness.preferredReader()
 	for i := range min(revalidateTries, len(peers)) {
 		reader := peers[(first+i)%len(peers)]
 		asked := g.Clock.Now()
-		answer, err := g.askPeer(ctx, reader.Peers, kind)
+		answer, err := g.askPeer(ctx, reader.PeerAddress, kind)
 		if errors.Is(err, errNotRead) {
 			return confirmation{peer: reader, unread: true}, true
 		}
@@ -168,7 +168,7 @@
 			g.Meter.Count("graniteknot_revalidations_total", meter.Label{Name: "result", Value: "proved"})
 			g.freshness.prefer(first + i)
 			g.freshness.unconfirmedFor(kind, false, asked)
-			return confirmation{peer: reader, Standing: answer, asOf: asOf}, true
+			return confirmation{peer: reader, TopicStatus: answer, asOf: asOf}, true
 		}
 		g.Meter.Count("graniteknot_revalidations_total", meter.Label{Name: "result", Value: "doubted"})
 		if err == nil || ctx.Err() == nil {
@@ -180,23 +180,23 @@
 }
 
 // askPeer asks a gateway for the state of a topic.
-func (g *Gateway) askPeer(ctx context.Context, to graniteknot.Address, kind presence.Kind) (readers.Standing, error) {
+func (g *Gateway) askPeer(ctx context.Context, to graniteknot.Address, kind presence.QueryKind) (readers.TopicStatus, error) {
 	bounded, cancel := context.WithTimeout(ctx, revalidateTimeout)
 	defer cancel()
 	body, err := g.socket.Ask(bounded, to, kind, nil)
 	if err != nil {
-		return readers.Standing{}, err
+		return readers.TopicStatus{}, err
 	}
 	if len(body) == 0 {
-		return readers.Standing{}, errNotRead
+		return readers.TopicStatus{}, errNotRead
 	}
-	return readers.DecodeStanding(body)
+	return readers.DecodeTopicStatus(body)
 }
 
 // answerPeer answers another process's query. The answer is empty if this gateway has not read the
 // topic yet.
-func (g *Gateway) answerPeer(_ context.Context, kind presence.Kind, body []byte) ([]byte, error) {
-	if out, handled, err := g.discovery.Answer(kind, body); handled {
+func (g *Gateway) answerPeer(_ context.Context, kind presence.QueryKind, body []byte) ([]byte, error) {
+	if out, handled, err := g.discovery.HandleQuery(kind, body); handled {
 		return out, err
 	}
 	now := g.Clock.Now()
@@ -204,7 +204,7 @@
 	case querySettingsPart, queryReplicasPart:
 		return g.recordCache.part(kind, body)
 	case queryQuarantinePart:
-		return g.quarantinePacks.Part(body, g.packQuarantine)
+		return g.quarantinePacks.ServePart(body, g.packQuarantine)
 	case querySettings:
 		tree, age := g.Catalog.Current(now)
 		if tree == nil {
@@ -225,6 +225,6 @@
 
 // encodeStanding encodes this gateway's answer on a topic.
 func (g *Gateway) encodeStanding(state uint64, age time.Duration, reader graniteknot.BoxName) []byte {
-	s := readers.Standing{State: state, Age: age, Sound: !g.Health.Doubtful(g.Clock.Now(), outageGrace), Reader: reader}
+	s := readers.TopicStatus{State: state, Age: age, StoreHealthy: !g.Health.RecentOutage(g.Clock.Now(), outageGrace), Reader: reader}
 	return s.Encode()
 }
--- a/internal/core/gateway/serve.go
+++ b/internal/core/gateway/serve.go
@@ -72,22 +72,22 @@
 	w       http.ResponseWriter
 	r       *http.Request
 	request *forward.Request
-	job     *forward.Job
+	job     *forward.RoutedRequest
 	// version and versionAge describe the configuration that the request was authorized under.
 	version    catalog.Version
 	versionAge time.Duration
 }
 
 // admit returns the forwarding job of an allowed request, or nil after a refusal.
-func (x *exchange) admit(granted access) *forward.Job {
+func (x *exchange) admit(granted access) *forward.RoutedRequest {
 	if granted.account != nil && !x.gateway.keysFresh() {
-		x.refuse(http.StatusServiceUnavailable, string(forward.ReasonStale), retryAfterUnavailable)
+		x.refuse(http.StatusServiceUnavailable, string(forward.ReasonStaleConfig), retryAfterUnavailable)
 		return nil
 	}
 	route := granted.route
-	x.job = &forward.Job{
+	x.job = &forward.RoutedRequest{
 		Request: x.request, Route: route, Account: granted.account, Service: granted.tree.Service(route.Pick(rand.Uint64())),
-		End: deadlineOf(x.request, route),
+		RespondBy: deadlineOf(x.request, route),
 	}
 	return x.job
 }
@@ -97,7 +97,7 @@
 func deadlineOf(r *forward.Request, route *catalog.Route) time.Time {
 	deadline := r.Deadline
 	if route.Timeout > 0 {
-		if t := r.Arrived.Add(route.Timeout); deadline.IsZero() || t.Before(deadline) {
+		if t := r.ReceivedAt.Add(route.Timeout); deadline.IsZero() || t.Before(deadline) {
 			deadline = t
 		}
 	}
@@ -151,9 +151,9 @@
 	status := result.Status
 	switch {
 	case result.Outcome == graniteknot.OutcomeAnswered:
-	case result.Begun:
+	case result.ResponseStarted:
 		status = 0
-	case result.Reason == forward.ReasonCallerGone:
+	case result.Reason == forward.ReasonClientGone:
 		status = 0
 	case result.Outcome == graniteknot.OutcomeNotRun:
 		status = http.StatusServiceUnavailable
@@ -175,14 +175,14 @@
 // retryAfter returns the retry delay for a request that was not run.
 func retryAfter(r *forward.Result) time.Duration {
 	if r.Reason == forward.ReasonBusy {
-		return time.Duration((1 + 0.4*rand.Float64()) * float64(max(r.Again, retryAfterBusy)))
+		return time.Duration((1 + 0.4*rand.Float64()) * float64(max(r.RetryAfter, retryAfterBusy)))
 	}
 	if r.Reason == forward.ReasonQuarantined {
 		return retryAfterQuarantined
 	}
-	if r.Again > 0 {
+	if r.RetryAfter > 0 {
 		// The jitter spreads the retries to replicas whose rest has just ended.
-		return time.Duration((1 + 0.2*rand.Float64()) * float64(max(r.Again, retryAfterUnavailable)))
+		return time.Duration((1 + 0.2*rand.Float64()) * float64(max(r.RetryAfter, retryAfterUnavailable)))
 	}
 	return retryAfterUnavailable
 }
@@ -195,19 +195,19 @@
 		slog.Int("status", status), slog.String("service", string(x.job.Service.Name)),
 		slog.String("route", x.job.Route.Name), slog.String("kind", x.job.Route.Kind.String()),
 		slog.Int("attempts", result.Attempts), slog.String("replica", result.Replica),
-		eventlog.Milliseconds("first", result.First), eventlog.Milliseconds("pause", result.Pause),
-		eventlog.Milliseconds("took", x.gateway.Clock.Since(x.request.Arrived)),
+		eventlog.Milliseconds("first", result.FirstByte), eventlog.Milliseconds("pause", result.MaxPause),
+		eventlog.Milliseconds("took", x.gateway.Clock.Since(x.request.ReceivedAt)),
 		slog.Int64("version", int64(x.version)), eventlog.Milliseconds("version_age", x.versionAge),
 	}
 	if x.job.Account != nil {
 		fields = append(fields, slog.String("account", string(x.job.Account.Name)))
 	}
-	if result.Since > 0 {
-		fields = append(fields, eventlog.Milliseconds("since_first_try", result.Since))
+	if result.SinceFirstTry > 0 {
+		fields = append(fields, eventlog.Milliseconds("since_first_try", result.SinceFirstTry))
 	}
 	if missed := x.lateness(result); missed != "" {
 		fields = append(fields, slog.String("late", missed), eventlog.Milliseconds("aim", x.job.Route.Aim),
-			eventlog.Milliseconds("pause_at", result.PauseAt))
+			eventlog.Milliseconds("pause_at", result.MaxPauseAt))
 	}
 	if result.Outcome == graniteknot.OutcomeAnswered {
 		x.gateway.Log.Info("request", fields...)
@@ -223,8 +223,8 @@
 // byte, "pause" for a gap in a stream, or "both"; empty if none.
 func (x *exchange) lateness(r *forward.Result) string {
 	route := x.job.Route
-	first := route.Aim > 0 && r.First > route.Aim
-	pause := route.GapAim > 0 && r.Pause > route.GapAim
+	first := route.Aim > 0 && r.FirstByte > route.Aim
+	pause := route.GapAim > 0 && r.MaxPause > route.GapAim
 	switch {
 	case r.Outcome != graniteknot.OutcomeAnswered:
 		return ""
@@ -238,8 +238,8 @@
 	return ""
 }
 
-// Whole implements forward.Sink.
-func (x *exchange) Whole(status int, h http.Header, body []byte) error {
+// WriteResponse implements forward.Sink.
+func (x *exchange) WriteResponse(status int, h http.Header, body []byte) error {
 	x.gateway.Translator.Answer(h, x.w.Header())
 	x.suppressContentType()
 	x.w.WriteHeader(status)
@@ -247,8 +247,8 @@
 	return err
 }
 
-// Begin implements forward.Sink.
-func (x *exchange) Begin(status int, h http.Header) error {
+// BeginStream implements forward.Sink.
+func (x *exchange) BeginStream(status int, h http.Header) error {
 	x.gateway.Translator.Answer(h, x.w.Header())
 	x.suppressContentType()
 	x.w.WriteHeader(status)
@@ -262,8 +262,8 @@
 	}
 }
 
-// Events implements forward.Sink.
-func (x *exchange) Events(b []byte) error {
+// WriteEvents implements forward.Sink.
+func (x *exchange) WriteEvents(b []byte) error {
 	if _, err := x.w.Write(b); err != nil {
 		return err
 	}
@@ -273,8 +273,8 @@
 // readDeadline converts the request's deadline to the monotonic clock that connections use; zero
 // means none.
 func (x *exchange) readDeadline() time.Time {
-	if x.job.End.IsZero() {
+	if x.job.RespondBy.IsZero() {
 		return time.Time{}
 	}
-	return time.Now().Add(x.gateway.Clock.Until(x.job.End))
+	return time.Now().Add(x.gateway.Clock.Until(x.job.RespondBy))
 }
--- a/internal/core/gateway/share.go
+++ b/internal/core/gateway/share.go
@@ -23,8 +23,8 @@
 
 const (
 	// querySettingsPart and queryReplicasPart request a part of the records.
-	querySettingsPart presence.Kind = 18
-	queryReplicasPart presence.Kind = 19
+	querySettingsPart presence.QueryKind = 18
+	queryReplicasPart presence.QueryKind = 19
 )
 
 // recordCache holds the records as the store returned them, for other gateways. The zero value is
@@ -34,16 +34,16 @@
 	settings []graniteknot.KeyedRecord
 	replicas map[string]graniteknot.KeyedRecord
 	// packed holds the latest packed records by kind.
-	packed map[presence.Kind]packedRecords
+	packed map[presence.QueryKind]packedRecords
 	// revisions counts the changes of the records by kind.
-	revisions map[presence.Kind]uint64
+	revisions map[presence.QueryKind]uint64
 	// settingsPacks and replicasPacks hold the packed records that other gateways are fetching.
-	settingsPacks, replicasPacks presence.Shelf
+	settingsPacks, replicasPacks presence.PackCache
 }
 
 // packedRecords are the packed records of a revision.
 type packedRecords struct {
-	presence.Packed
+	presence.PackedRecords
 
 	revision uint64
 }
@@ -73,42 +73,42 @@
 }
 
 // bumpRevision counts a change of a kind of records. The caller holds the lock.
-func (c *recordCache) bumpRevision(kind presence.Kind) {
+func (c *recordCache) bumpRevision(kind presence.QueryKind) {
 	if c.revisions == nil {
-		c.revisions = map[presence.Kind]uint64{}
+		c.revisions = map[presence.QueryKind]uint64{}
 	}
 	c.revisions[kind]++
 }
 
 // pack returns the packed records of a kind.
-func (c *recordCache) pack(kind presence.Kind) (presence.Packed, error) {
+func (c *recordCache) pack(kind presence.QueryKind) (presence.PackedRecords, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if latest, ok := c.packed[kind]; ok && latest.revision == c.revisions[kind] {
-		return latest.Packed, nil
+		return latest.PackedRecords, nil
 	}
 	list := c.settings
 	if kind == queryReplicasPart {
 		list = slices.SortedFunc(maps.Values(c.replicas), func(a, b graniteknot.KeyedRecord) int { return cmp.Compare(a.Key, b.Key) })
 	}
-	out, err := presence.Pack(list)
+	out, err := presence.PackRecords(list)
 	if err != nil {
 		return nil, err
 	}
 	if c.packed == nil {
-		c.packed = map[presence.Kind]packedRecords{}
+		c.packed = map[presence.QueryKind]packedRecords{}
 	}
 	c.packed[kind] = packedRecords{out, c.revisions[kind]}
 	return out, nil
 }
 
 // part answers another gateway's query for a part of the records.
-func (c *recordCache) part(kind presence.Kind, body []byte) ([]byte, error) {
+func (c *recordCache) part(kind presence.QueryKind, body []byte) ([]byte, error) {
 	packs := &c.settingsPacks
 	if kind == queryReplicasPart {
 		packs = &c.replicasPacks
 	}
-	return packs.Part(body, func() (presence.Packed, error) { return c.pack(kind) })
+	return packs.ServePart(body, func() (presence.PackedRecords, error) { return c.pack(kind) })
 }
 
 // fetchSettingsFromPeer fetches a newer configuration from another gateway when the store does not
@@ -132,17 +132,17 @@
 
 // fetchFromPeers queries other gateways in turn for their state, and fetches and applies the
 // records of the first one whose state is wanted.
-func (g *Gateway) fetchFromPeers(ctx context.Context, stateKind, partKind presence.Kind, wanted func(uint64) bool, apply func([]graniteknot.KeyedRecord, time.Time, recordSource)) bool {
-	peers := g.Members.Living(presence.RoleGateway, g.Config.Box, g.Clock.Now())
+func (g *Gateway) fetchFromPeers(ctx context.Context, stateKind, partKind presence.QueryKind, wanted func(uint64) bool, apply func([]graniteknot.KeyedRecord, time.Time, recordSource)) bool {
+	peers := g.Members.AliveMembers(presence.RoleGateway, g.Config.Box, g.Clock.Now())
 	first := rand.IntN(max(1, len(peers)))
 	for i := range min(revalidateTries, len(peers)) {
 		peer := peers[(first+i)%len(peers)]
 		asked := g.Clock.Now()
-		answer, err := g.askPeer(ctx, peer.Peers, stateKind)
+		answer, err := g.askPeer(ctx, peer.PeerAddress, stateKind)
 		if err != nil || !wanted(answer.State) {
 			continue
 		}
-		records, err := g.socket.Fetch(ctx, peer.Peers, partKind)
+		records, err := g.socket.Fetch(ctx, peer.PeerAddress, partKind)
 		if err != nil {
 			g.Log.Warn("records of a peer", slog.String("peer", string(peer.Box)), slog.String("error", err.Error()))
 			continue
--- a/internal/core/gateway/startup.go
+++ b/internal/core/gateway/startup.go
@@ -52,15 +52,15 @@
 	g.firstVersionChecked = true
 	ctx, cancel := context.WithTimeout(g.group.Context(), firstVersionTimeout)
 	defer cancel()
-	peers := g.Members.Living(presence.RoleGateway, g.Config.Box, g.Clock.Now())
+	peers := g.Members.AliveMembers(presence.RoleGateway, g.Config.Box, g.Clock.Now())
 	for _, i := range rand.Perm(len(peers))[:min(revalidateTries, len(peers))] {
 		asked := g.Clock.Now()
-		answer, err := g.askPeer(ctx, peers[i].Peers, querySettings)
+		answer, err := g.askPeer(ctx, peers[i].PeerAddress, querySettings)
 		if err != nil {
 			continue
 		}
 		if answer.State > uint64(stored) {
-			g.fetchInitialFrom(ctx, &confirmation{peer: peers[i], Standing: answer, asOf: asked.Add(-answer.Age)}, stored)
+			g.fetchInitialFrom(ctx, &confirmation{peer: peers[i], TopicStatus: answer, asOf: asked.Add(-answer.Age)}, stored)
 		}
 		return
 	}
@@ -69,7 +69,7 @@
 // fetchInitialFrom fetches the configuration of a gateway that has a newer one than the store
 // returned.
 func (g *Gateway) fetchInitialFrom(ctx context.Context, c *confirmation, stored catalog.Version) {
-	records, err := g.socket.Fetch(ctx, c.peer.Peers, querySettingsPart)
+	records, err := g.socket.Fetch(ctx, c.peer.PeerAddress, querySettingsPart)
 	if err != nil {
 		g.Log.Warn("newer configuration not fetched", slog.String("peer", string(c.peer.Box)), slog.String("error", err.Error()))
 		return
--- a/internal/core/gateway/translator.go
+++ b/internal/core/gateway/translator.go
@@ -11,7 +11,7 @@
 
 // Translator converts between a platform's formats and the product's.
 type Translator interface {
-	forward.Dialect
+	forward.Codec
 	// Tree parses a settings record; it returns nil for a record that is no configuration.
 	Tree(r graniteknot.KeyedRecord) (*catalog.Tree, error)
 	// Replica parses a replica's record.
