--- a/internal/core/gateway/revalidate.go
+++ b/internal/core/gateway/revalidate.go
@@ -14,217 +14,217 @@
 	"graniteknot.org/go/internal/delay"
 )
 
-// In a large deployment a few gateways read the store, and the others ask them
-// whether what they know is still the newest. In any deployment a gateway that the
-// store does not answer asks those that it may answer. Whoever hears that something has
-// changed takes the records from the one who said so, as the store gave them. An
-// answer proves as much as a read that began when the question was asked, less
-// the age of the answer: how long question and answer were on their way, or
-// either process stood still, only makes it older.
+// In a large deployment a few gateways read the store, and the others ask them whether their own
+// state is still the newest. In any deployment a gateway that has lost access to the store asks
+// those that may have it. A gateway that learns of a change fetches the records, as the store
+// returned them, from the one that answered. An answer confirms as much as a read that began when
+// the query was sent, less the age in the answer. Time spent in transit or in a suspended process
+// only makes the answer older.
 
 const (
-	// revalidatePause is the time between two questions.
+	// revalidatePause is the pause between two queries.
 	revalidatePause = 400 * time.Millisecond
-	// revalidateTime bounds a question to one gateway.
-	revalidateTime = 120 * time.Millisecond
-	// revalidateTries is how many gateways are asked before the store is read: all
-	// readers, several of which the store may turn away.
+	// revalidateTimeout bounds a query to one gateway.
+	revalidateTimeout = 120 * time.Millisecond
+	// revalidateTries is how many gateways are asked before the store is read: all readers,
+	// several of which may have lost access to the store.
 	revalidateTries = 6
-	// unreadPatience is for how long a gateway that has just started waits for a reader
-	// that has read nothing either, before it reads the store.
-	unreadPatience = 3 * time.Second
-	// unreadPause is the time between two questions until then.
+	// unreadTimeout is how long a gateway that has just started waits for readers that have not
+	// read anything yet, before it reads the store.
+	unreadTimeout = 3 * time.Second
+	// unreadPause is the pause between two queries meanwhile.
 	unreadPause = 60 * time.Millisecond
 )
 
-// The questions that gateways ask each other.
+// Queries between gateways.
 const (
-	askSettings presence.QueryKind = 16
-	askReplicas presence.QueryKind = 17
+	querySettings presence.QueryKind = 16
+	queryReplicas presence.QueryKind = 17
 )
 
-// The state of an answer's topic is unknown before the first read.
-var errUnread = errors.New("not read yet")
+// errNotRead means that the queried gateway has not read the topic yet.
+var errNotRead = errors.New("topic not read yet")
 
-// proof is what a reader proves of a topic.
-type proof struct {
-	// from is the reader that was asked; Standing is what it answered, as of at.
-	from presence.Member
+// confirmation is what a reader's answer confirms about a topic.
+type confirmation struct {
+	// peer is the reader that was asked; Standing is its answer, which confirms the state as of
+	// asOf.
+	peer presence.Member
 	readers.TopicStatus
-	at time.Time
-	// unread tells that the reader knows no state yet.
+	asOf time.Time
+	// unread is set if the reader has not read the topic yet.
 	unread bool
-	// answered tells that a reader answered, but proved nothing.
+	// answered is set if a reader answered without confirming anything.
 	answered bool
 }
 
-// source is whose read the proof is, and who told it.
-func (p *proof) source() source { return source{p.from.Box, p.Reader} }
+// source returns the source of the confirmed state.
+func (c *confirmation) source() recordSource { return recordSource{c.peer.Box, c.Reader} }
 
-// revalidateSettings tells whether a reader proves that the tree is the newest, or
-// hands on a newer one.
+// revalidateSettings reports whether a reader confirms that the configuration is the newest, or
+// provides a newer one.
 func (g *Gateway) revalidateSettings(ctx context.Context) bool {
-	from := g.provers(askSettings, g.Clock.Now())
-	if len(from) == 0 {
+	peers := g.peersToAsk(querySettings, g.Clock.Now())
+	if len(peers) == 0 {
 		return false
 	}
-	p, ok := g.askRead(ctx, from, askSettings, g.trust(askSettings))
+	c, ok := g.askUntilRead(ctx, peers, querySettings, g.maxAnswerAge(querySettings))
 	if !ok {
-		return !g.mayCall(askSettings, p.answered, g.Clock.Now())
+		return !g.shouldCallStore(querySettings, c.answered, g.Clock.Now())
 	}
 	now := g.Clock.Now()
 	tree, age := g.Catalog.Current(now)
 	switch {
-	case tree != nil && p.State == uint64(tree.Version):
-		g.settingsFrom.Store(&source{p.from.Box, p.Reader})
-		return g.Catalog.Prove(tree.Version, p.at)
-	case tree != nil && p.State < uint64(tree.Version):
-		// The reader has yet to see what this gateway was told by another one.
-		return age < settingsTrust
-	}
-	records, ok := g.take(ctx, &p, askSettingsPart)
+	case tree != nil && c.State == uint64(tree.Version):
+		g.settingsSource.Store(&recordSource{c.peer.Box, c.Reader})
+		return g.Catalog.Prove(tree.Version, c.asOf)
+	case tree != nil && c.State < uint64(tree.Version):
+		// The reader has not seen the version yet that this gateway got from another one.
+		return age < settingsMaxAge
+	}
+	records, ok := g.fetchRecords(ctx, &c, querySettingsPart)
 	if !ok {
 		return false
 	}
-	g.handSettings(records, p.at, p.source())
+	g.applyPeerSettings(records, c.asOf, c.source())
 	tree, _ = g.Catalog.Current(now)
-	return tree != nil && uint64(tree.Version) >= p.State
+	return tree != nil && uint64(tree.Version) >= c.State
 }
 
-// revalidateReplicas tells whether a reader proves that the replicas are known, or
-// hands on others.
+// revalidateReplicas reports whether a reader confirms the known replicas, or provides others.
 func (g *Gateway) revalidateReplicas(ctx context.Context) bool {
-	from := g.provers(askReplicas, g.Clock.Now())
-	if len(from) == 0 {
+	peers := g.peersToAsk(queryReplicas, g.Clock.Now())
+	if len(peers) == 0 {
 		return false
 	}
-	trust := g.trust(askReplicas)
-	p, ok := g.askRead(ctx, from, askReplicas, trust)
+	maxAge := g.maxAnswerAge(queryReplicas)
+	c, ok := g.askUntilRead(ctx, peers, queryReplicas, maxAge)
 	if !ok {
-		return !g.mayCall(askReplicas, p.answered, g.Clock.Now())
+		return !g.shouldCallStore(queryReplicas, c.answered, g.Clock.Now())
 	}
-	if p.StoreHealthy {
-		g.Health.RecordPeerRead(p.at)
+	if c.StoreHealthy {
+		g.Health.RecordPeerRead(c.asOf)
 	}
 	now := g.Clock.Now()
-	age, read := g.validity.age(now)
+	age, read := g.freshness.age(now)
 	switch {
-	case read && p.State == uint64(g.Fleet.Digest()):
-		g.validity.prove(p.at)
+	case read && c.State == uint64(g.Fleet.Digest()):
+		g.freshness.confirm(c.asOf)
 		return true
-	case read && !p.at.After(now.Add(-age)):
-		// What this gateway knows is newer than what the reader does.
-		return age < trust
+	case read && !c.asOf.After(now.Add(-age)):
+		// This gateway's state is newer than the reader's.
+		return age < maxAge
 	}
-	records, ok := g.take(ctx, &p, askReplicasPart)
+	records, ok := g.fetchRecords(ctx, &c, queryReplicasPart)
 	if !ok {
 		return false
 	}
-	g.handReplicas(records, p.at)
-	return p.State == uint64(g.Fleet.Digest())
+	g.applyPeerReplicas(records, c.asOf)
+	return c.State == uint64(g.Fleet.Digest())
 }
 
-// take takes records from a reader that has others: nearly all gateways would else call
-// the store at each change, each of them for all records.
-func (g *Gateway) take(ctx context.Context, p *proof, kind presence.QueryKind) ([]graniteknot.KeyedRecord, bool) {
-	records, err := g.socket.Fetch(ctx, p.from.PeerAddress, kind)
+// fetchRecords fetches the records of a reader whose state differs. Otherwise nearly all gateways
+// would read all records from the store after each change.
+func (g *Gateway) fetchRecords(ctx context.Context, c *confirmation, kind presence.QueryKind) ([]graniteknot.KeyedRecord, bool) {
+	records, err := g.socket.Fetch(ctx, c.peer.PeerAddress, kind)
 	if err != nil {
-		g.Log.Warn("records of a reader", slog.String("reader", string(p.from.Box)), slog.String("error", err.Error()))
+		g.Log.Warn("records of a reader", slog.String("reader", string(c.peer.Box)), slog.String("error", err.Error()))
 		return nil, false
 	}
 	g.Meter.Count("graniteknot_revalidations_total", meter.Label{Name: "result", Value: "taken"})
 	return records, true
 }
 
-// askRead asks readers for the state of a topic until one has read it, as after a start
-// of all gateways at once.
-func (g *Gateway) askRead(ctx context.Context, from []presence.Member, kind presence.QueryKind, trust time.Duration) (proof, bool) {
+// askUntilRead asks readers for the state of a topic until one has read it, as after a start of
+// all gateways at once.
+func (g *Gateway) askUntilRead(ctx context.Context, peers []presence.Member, kind presence.QueryKind, maxAge time.Duration) (confirmation, bool) {
 	for {
-		p, ok := g.askReaders(ctx, from, kind, trust)
-		if !p.unread {
-			return p, ok
+		c, ok := g.askReaders(ctx, peers, kind, maxAge)
+		if !c.unread {
+			return c, ok
 		}
-		if g.Clock.Since(g.started) > unreadPatience || ctx.Err() != nil {
-			return proof{}, false
+		if g.Clock.Since(g.startedAt) > unreadTimeout || ctx.Err() != nil {
+			return confirmation{}, false
 		}
 		delay.For(ctx, unreadPause)
 	}
 }
 
-// askReaders asks a reader or two for the state of a topic, and returns it with
-// the time from which on it is proved; false when none knows it well enough.
-func (g *Gateway) askReaders(ctx context.Context, from []presence.Member, kind presence.QueryKind, trust time.Duration) (proof, bool) {
+// askReaders asks readers in turn for the state of a topic, and returns it with the time as of
+// which it is confirmed; false if none has a recent enough state.
+func (g *Gateway) askReaders(ctx context.Context, peers []presence.Member, kind presence.QueryKind, maxAge time.Duration) (confirmation, bool) {
 	answered := false
-	first := g.validity.first()
-	for i := range min(revalidateTries, len(from)) {
-		reader := from[(first+i)%len(from)]
+	first := g.freshness.preferredReader()
+	for i := range min(revalidateTries, len(peers)) {
+		reader := peers[(first+i)%len(peers)]
 		asked := g.Clock.Now()
-		told, err := g.askPeer(ctx, reader.PeerAddress, kind)
-		if errors.Is(err, errUnread) {
-			return proof{from: reader, unread: true}, true
+		answer, err := g.askPeer(ctx, reader.PeerAddress, kind)
+		if errors.Is(err, errNotRead) {
+			return confirmation{peer: reader, unread: true}, true
 		}
 		answered = answered || err == nil
-		at := asked.Add(-told.Age)
-		if err == nil && g.Clock.Since(at) < trust {
+		asOf := asked.Add(-answer.Age)
+		if err == nil && g.Clock.Since(asOf) < maxAge {
 			g.Meter.Count("graniteknot_revalidations_total", meter.Label{Name: "result", Value: "proved"})
-			g.validity.prefer(first + i)
-			g.validity.doubt(kind, false, asked)
-			return proof{from: reader, TopicStatus: told, at: at}, true
+			g.freshness.prefer(first + i)
+			g.freshness.unconfirmedFor(kind, false, asked)
+			return confirmation{peer: reader, TopicStatus: answer, asOf: asOf}, true
 		}
 		g.Meter.Count("graniteknot_revalidations_total", meter.Label{Name: "result", Value: "doubted"})
 		if err == nil || ctx.Err() == nil {
 			g.Log.Info("reader doubted", slog.String("reader", string(reader.Box)), slog.Int("kind", int(kind)),
-				eventlog.Milliseconds("age", g.Clock.Since(at)), slog.String("read_by", string(told.Reader)), slog.Any("error", err))
+				eventlog.Milliseconds("age", g.Clock.Since(asOf)), slog.String("read_by", string(answer.Reader)), slog.Any("error", err))
 		}
 	}
-	return proof{answered: answered}, false
+	return confirmation{answered: answered}, false
 }
 
 // askPeer asks a gateway for the state of a topic.
 func (g *Gateway) askPeer(ctx context.Context, to graniteknot.Address, kind presence.QueryKind) (readers.TopicStatus, error) {
-	short, cancel := context.WithTimeout(ctx, revalidateTime)
+	bounded, cancel := context.WithTimeout(ctx, revalidateTimeout)
 	defer cancel()
-	body, err := g.socket.Ask(short, to, kind, nil)
+	body, err := g.socket.Ask(bounded, to, kind, nil)
 	if err != nil {
 		return readers.TopicStatus{}, err
 	}
 	if len(body) == 0 {
-		return readers.TopicStatus{}, errUnread
+		return readers.TopicStatus{}, errNotRead
 	}
 	return readers.DecodeTopicStatus(body)
 }
 
-// answerPeer answers another process's question; a state that is not known yet with
-// nothing.
+// answerPeer answers another process's query. The answer is empty if this gateway has not read the
+// topic yet.
 func (g *Gateway) answerPeer(_ context.Context, kind presence.QueryKind, body []byte) ([]byte, error) {
-	if out, mine, err := g.census.HandleQuery(kind, body); mine {
+	if out, handled, err := g.discovery.HandleQuery(kind, body); handled {
 		return out, err
 	}
 	now := g.Clock.Now()
 	switch kind {
-	case askSettingsPart, askReplicasPart:
-		return g.shared.part(kind, body)
-	case askQuarantinePart:
-		return g.quarantineShelf.ServePart(body, g.packQuarantine)
-	case askSettings:
+	case querySettingsPart, queryReplicasPart:
+		return g.recordCache.part(kind, body)
+	case queryQuarantinePart:
+		return g.quarantinePacks.ServePart(body, g.packQuarantine)
+	case querySettings:
 		tree, age := g.Catalog.Current(now)
 		if tree == nil {
 			return nil, nil
 		}
-		return g.standing(uint64(tree.Version), age, g.settingsFrom.Load().reader), nil
-	case askReplicas:
-		// The age is taken first: a change in between makes the state newer.
-		age, ok := g.validity.age(now)
+		return g.encodeStanding(uint64(tree.Version), age, g.settingsSource.Load().reader), nil
+	case queryReplicas:
+		// The age is taken before the digest, so that a change in between cannot make the state
+		// look newer than it is.
+		age, ok := g.freshness.age(now)
 		if !ok {
 			return nil, nil
 		}
-		return g.standing(uint64(g.Fleet.Digest()), age, ""), nil
+		return g.encodeStanding(uint64(g.Fleet.Digest()), age, ""), nil
 	}
 	return nil, readers.ErrMalformed
 }
 
-// standing is this gateway's answer on a topic.
-func (g *Gateway) standing(state uint64, age time.Duration, reader graniteknot.BoxName) []byte {
-	s := readers.TopicStatus{State: state, Age: age, StoreHealthy: !g.Health.RecentOutage(g.Clock.Now(), doubtTime), Reader: reader}
+// encodeStanding encodes this gateway's answer on a topic.
+func (g *Gateway) encodeStanding(state uint64, age time.Duration, reader graniteknot.BoxName) []byte {
+	s := readers.TopicStatus{State: state, Age: age, StoreHealthy: !g.Health.RecentOutage(g.Clock.Now(), outageGrace), Reader: reader}
 	return s.Encode()
 }
--- a/internal/core/gateway/serve.go
+++ b/internal/core/gateway/serve.go
@@ -16,28 +16,29 @@
 	"graniteknot.org/go/internal/core/meter"
 )
 
-// refusedAgain is when a caller may come back that was refused for want of
-// room, configuration or replicas.
-const refusedAgain = 300 * time.Millisecond
+// retryAfterUnavailable is the retry delay given when there is no capacity, no configuration or no
+// replica.
+const retryAfterUnavailable = 300 * time.Millisecond
 
-// busyAgain is when a caller may come back that was refused for want of room
-// after it had waited: sooner, it would meet the same crowd.
-const busyAgain = 1800 * time.Millisecond
+// retryAfterBusy is the retry delay given when a request waited for capacity in vain; an earlier
+// retry would meet the same overload.
+const retryAfterBusy = 1800 * time.Millisecond
 
-// quarantinedAgain is when a caller may come back whose request ends replicas: not soon.
-const quarantinedAgain = time.Minute
+// retryAfterQuarantined is the retry delay given for a request that is quarantined for crashing
+// replicas.
+const retryAfterQuarantined = time.Minute
 
-// serve takes one caller's request to its answer.
+// serve handles a caller's request.
 func (g *Gateway) serve(w http.ResponseWriter, r *http.Request) {
 	arrived := g.Clock.Now()
 	if g.leaving.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	tree, age := g.tree(r.Context())
+	tree, age := g.awaitTree(r.Context())
 	request, err := g.Translator.Request(r, arrived)
-	x := &exchange{gateway: g, w: w, r: r, request: request, age: age}
+	x := &exchange{gateway: g, w: w, r: r, request: request, versionAge: age}
 	if tree == nil {
-		x.refuse(http.StatusServiceUnavailable, "no-configuration", refusedAgain)
+		x.refuse(http.StatusServiceUnavailable, "no-configuration", retryAfterUnavailable)
 		return
 	}
 	x.version = tree.Version
@@ -45,79 +46,80 @@
 		x.refuse(http.StatusBadRequest, "malformed", 0)
 		return
 	}
-	found, deny := grantOf(tree, request)
-	if deny != (denial{}) {
-		permitted := false
-		if found, permitted = x.reconsider(); !permitted {
+	granted, denied := authorize(tree, request)
+	if denied != (denial{}) {
+		allowed := false
+		if granted, allowed = x.recheck(); !allowed {
 			return
 		}
 	}
-	x.forward(found)
+	x.forward(granted)
 }
 
-// forward takes a request that the configuration allows to its answer.
-func (x *exchange) forward(found grant) {
-	job := x.admit(found)
-	if job == nil || !x.body(found.tree.Limits.BodyBytes) {
+// forward forwards a request that the configuration allows, and finishes its response.
+func (x *exchange) forward(granted access) {
+	job := x.admit(granted)
+	if job == nil || !x.readBody(granted.tree.Limits.BodyBytes) {
 		return
 	}
 	result := x.gateway.Forwarder.Do(x.r.Context(), job, x)
-	x.end(&result)
+	x.finish(&result)
 }
 
-// exchange is one request and its answer.
+// exchange is a caller's request and its response.
 type exchange struct {
 	gateway *Gateway
 	w       http.ResponseWriter
 	r       *http.Request
 	request *forward.Request
 	job     *forward.RoutedRequest
-	// version and age are of the configuration that the request was read under.
-	version catalog.Version
-	age     time.Duration
+	// version and versionAge describe the configuration that the request was authorized under.
+	version    catalog.Version
+	versionAge time.Duration
 }
 
-// admit makes the job of a request that the configuration allows; nil after a refusal.
-func (x *exchange) admit(found grant) *forward.RoutedRequest {
-	if found.account != nil && !x.gateway.fresh() {
-		x.refuse(http.StatusServiceUnavailable, string(forward.ReasonStaleConfig), refusedAgain)
+// admit returns the forwarding job of an allowed request, or nil after a refusal.
+func (x *exchange) admit(granted access) *forward.RoutedRequest {
+	if granted.account != nil && !x.gateway.keysFresh() {
+		x.refuse(http.StatusServiceUnavailable, string(forward.ReasonStaleConfig), retryAfterUnavailable)
 		return nil
 	}
-	route := found.route
+	route := granted.route
 	x.job = &forward.RoutedRequest{
-		Request: x.request, Route: route, Account: found.account, Service: found.tree.Service(route.Pick(rand.Uint64())),
-		RespondBy: endOf(x.request, route),
+		Request: x.request, Route: route, Account: granted.account, Service: granted.tree.Service(route.Pick(rand.Uint64())),
+		RespondBy: deadlineOf(x.request, route),
 	}
 	return x.job
 }
 
-// endOf is the earlier of the request's deadline and the route's timeout.
-func endOf(r *forward.Request, route *catalog.Route) time.Time {
-	end := r.Deadline
+// deadlineOf returns the earlier of the request's deadline and the route's timeout; zero means
+// none.
+func deadlineOf(r *forward.Request, route *catalog.Route) time.Time {
+	deadline := r.Deadline
 	if route.Timeout > 0 {
-		if t := r.ReceivedAt.Add(route.Timeout); end.IsZero() || t.Before(end) {
-			end = t
+		if t := r.ReceivedAt.Add(route.Timeout); deadline.IsZero() || t.Before(deadline) {
+			deadline = t
 		}
 	}
-	return end
+	return deadline
 }
 
-// body reads the request's body; false after a refusal.
-func (x *exchange) body(limit int) bool {
+// readBody reads the request's body; it returns false after a refusal.
+func (x *exchange) readBody(limit int) bool {
 	reader := x.r.Body
 	if limit > 0 {
 		reader = http.MaxBytesReader(x.w, reader, int64(limit))
 	}
 	control := http.NewResponseController(x.w)
-	_ = control.SetReadDeadline(x.readBy())
+	_ = control.SetReadDeadline(x.readDeadline())
 	body, err := io.ReadAll(reader)
 	_ = control.SetReadDeadline(time.Time{})
 	x.request.Body = body
 	if err == nil {
 		return true
 	}
-	var large *http.MaxBytesError
-	if errors.As(err, &large) {
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
 		x.refuse(http.StatusRequestEntityTooLarge, "body-too-large", 0)
 		return false
 	}
@@ -125,28 +127,27 @@
 	return false
 }
 
-// refuse answers a request that was handed to no replica.
-func (x *exchange) refuse(status int, reason string, again time.Duration) {
-	x.fail(status, again)
+// refuse answers a request that was sent to no replica.
+func (x *exchange) refuse(status int, reason string, delay time.Duration) {
+	x.writeFailure(status, delay)
 	x.gateway.Meter.Count("graniteknot_refused_total", meter.Label{Name: "reason", Value: reason})
-	from := x.gateway.settingsFrom.Load()
-	behind, _ := x.gateway.newer.behind(x.gateway.Clock.Now())
+	source := x.gateway.settingsSource.Load()
+	behind, _ := x.gateway.peerVersions.behindFor(x.gateway.Clock.Now())
 	x.gateway.Log.Warn("refused", slog.String("request", string(x.request.ID)), slog.Int("status", status),
-		slog.String("reason", reason), slog.Int64("version", int64(x.version)), eventlog.Milliseconds("version_age", x.age),
-		slog.String("proved_by", string(from.by)), slog.String("read_by", string(from.reader)),
+		slog.String("reason", reason), slog.Int64("version", int64(x.version)), eventlog.Milliseconds("version_age", x.versionAge),
+		slog.String("proved_by", string(source.peer)), slog.String("read_by", string(source.reader)),
 		eventlog.Milliseconds("behind", behind),
 		slog.String("host", x.request.Host), slog.String("path", x.request.Path))
 }
 
-// fail writes a failure of the product's own.
-func (x *exchange) fail(status int, again time.Duration) {
-	x.gateway.Translator.Refusal(x.w.Header(), x.request.ID, again)
+// writeFailure writes a failure response of the product's own.
+func (x *exchange) writeFailure(status int, delay time.Duration) {
+	x.gateway.Translator.Refusal(x.w.Header(), x.request.ID, delay)
 	x.w.WriteHeader(status)
 }
 
-// end tells the caller how the request ended, where its answer did not, and
-// writes the line that closes its story.
-func (x *exchange) end(result *forward.Result) {
+// finish reports the outcome to the caller if no response was written, and logs the request.
+func (x *exchange) finish(result *forward.Result) {
 	status := result.Status
 	switch {
 	case result.Outcome == graniteknot.OutcomeAnswered:
@@ -156,39 +157,39 @@
 		status = 0
 	case result.Outcome == graniteknot.OutcomeNotRun:
 		status = http.StatusServiceUnavailable
-		x.fail(status, again(result))
+		x.writeFailure(status, retryAfter(result))
 	case result.Reason == forward.ReasonTimeout:
 		status = http.StatusGatewayTimeout
-		x.fail(status, 0)
+		x.writeFailure(status, 0)
 	default:
 		status = http.StatusBadGateway
-		x.fail(status, 0)
+		x.writeFailure(status, 0)
 	}
-	x.log(result, status)
+	x.logRequest(result, status)
 	if status == 0 && result.Outcome != graniteknot.OutcomeAnswered {
-		// The connection is closed, so that what was sent does not look whole.
+		// Closes the connection, so that a partial response does not look complete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// again is when the caller of a request that did not run may come back.
-func again(r *forward.Result) time.Duration {
+// retryAfter returns the retry delay for a request that was not run.
+func retryAfter(r *forward.Result) time.Duration {
 	if r.Reason == forward.ReasonBusy {
-		return time.Duration((1 + 0.4*rand.Float64()) * float64(max(r.RetryAfter, busyAgain)))
+		return time.Duration((1 + 0.4*rand.Float64()) * float64(max(r.RetryAfter, retryAfterBusy)))
 	}
 	if r.Reason == forward.ReasonQuarantined {
-		return quarantinedAgain
+		return retryAfterQuarantined
 	}
 	if r.RetryAfter > 0 {
-		// Who comes to replicas that have just rested comes spread over a while.
-		return time.Duration((1 + 0.2*rand.Float64()) * float64(max(r.RetryAfter, refusedAgain)))
+		// The jitter spreads the retries to replicas whose rest has just ended.
+		return time.Duration((1 + 0.2*rand.Float64()) * float64(max(r.RetryAfter, retryAfterUnavailable)))
 	}
-	return refusedAgain
+	return retryAfterUnavailable
 }
 
-// log writes the line that closes a request's story.
-func (x *exchange) log(result *forward.Result, status int) {
-	x.count(result)
+// logRequest records the metrics of a finished request and writes its log line.
+func (x *exchange) logRequest(result *forward.Result, status int) {
+	x.recordMetrics(result)
 	fields := []slog.Attr{
 		slog.String("request", string(x.request.ID)), slog.String("outcome", result.Outcome.String()),
 		slog.Int("status", status), slog.String("service", string(x.job.Service.Name)),
@@ -196,7 +197,7 @@
 		slog.Int("attempts", result.Attempts), slog.String("replica", result.Replica),
 		eventlog.Milliseconds("first", result.FirstByte), eventlog.Milliseconds("pause", result.MaxPause),
 		eventlog.Milliseconds("took", x.gateway.Clock.Since(x.request.ReceivedAt)),
-		slog.Int64("version", int64(x.version)), eventlog.Milliseconds("version_age", x.age),
+		slog.Int64("version", int64(x.version)), eventlog.Milliseconds("version_age", x.versionAge),
 	}
 	if x.job.Account != nil {
 		fields = append(fields, slog.String("account", string(x.job.Account.Name)))
@@ -204,8 +205,8 @@
 	if result.SinceFirstTry > 0 {
 		fields = append(fields, eventlog.Milliseconds("since_first_try", result.SinceFirstTry))
 	}
-	if late := x.late(result); late != "" {
-		fields = append(fields, slog.String("late", late), eventlog.Milliseconds("aim", x.job.Route.Aim),
+	if missed := x.lateness(result); missed != "" {
+		fields = append(fields, slog.String("late", missed), eventlog.Milliseconds("aim", x.job.Route.Aim),
 			eventlog.Milliseconds("pause_at", result.MaxPauseAt))
 	}
 	if result.Outcome == graniteknot.OutcomeAnswered {
@@ -218,9 +219,9 @@
 	x.gateway.Log.Warn("request", append(fields, slog.String("reason", string(result.Reason)))...)
 }
 
-// late tells by what an answer is not in time: its first byte, a pause, or both;
-// empty for one that is, or where the route says nothing.
-func (x *exchange) late(r *forward.Result) string {
+// lateness returns which latency target of the route a response missed: "first" for the first
+// byte, "pause" for a gap in a stream, or "both"; empty if none.
+func (x *exchange) lateness(r *forward.Result) string {
 	route := x.job.Route
 	first := route.Aim > 0 && r.FirstByte > route.Aim
 	pause := route.GapAim > 0 && r.MaxPause > route.GapAim
@@ -240,7 +241,7 @@
 // WriteResponse implements forward.Sink.
 func (x *exchange) WriteResponse(status int, h http.Header, body []byte) error {
 	x.gateway.Translator.Answer(h, x.w.Header())
-	x.noType()
+	x.suppressContentType()
 	x.w.WriteHeader(status)
 	_, err := x.w.Write(body)
 	return err
@@ -249,13 +250,13 @@
 // BeginStream implements forward.Sink.
 func (x *exchange) BeginStream(status int, h http.Header) error {
 	x.gateway.Translator.Answer(h, x.w.Header())
-	x.noType()
+	x.suppressContentType()
 	x.w.WriteHeader(status)
 	return nil
 }
 
-// noType keeps net/http from guessing a type that the replica did not give.
-func (x *exchange) noType() {
+// suppressContentType keeps net/http from guessing a content type that the replica did not send.
+func (x *exchange) suppressContentType() {
 	if _, given := x.w.Header()["Content-Type"]; !given {
 		x.w.Header()["Content-Type"] = nil
 	}
@@ -269,9 +270,9 @@
 	return http.NewResponseController(x.w).Flush()
 }
 
-// readBy is when a connection's reads end at the latest; connections wait by the steady
-// clock. Zero is no bound.
-func (x *exchange) readBy() time.Time {
+// readDeadline converts the request's deadline to the monotonic clock that connections use; zero
+// means none.
+func (x *exchange) readDeadline() time.Time {
 	if x.job.RespondBy.IsZero() {
 		return time.Time{}
 	}
--- a/internal/core/gateway/servers.go
+++ b/internal/core/gateway/servers.go
@@ -14,41 +14,40 @@
 )
 
 const (
-	// headTime bounds the head of a request where the configuration does not.
-	headTime = 5 * time.Second
-	// idleTime is how long a connection rests where the configuration does not
-	// say.
-	idleTime = time.Minute
+	// defaultHeaderTimeout bounds reading a request's header if the configuration sets no bound.
+	defaultHeaderTimeout = 5 * time.Second
+	// defaultIdleTimeout bounds how long a connection stays idle if the configuration sets no
+	// bound.
+	defaultIdleTimeout = time.Minute
 )
 
-// servers takes the connections at a gateway's addresses. A change of the
-// limits begins a new http.Server, which takes the connections from then on;
-// those that are open stay with the server that took them.
+// servers accepts the connections at a gateway's addresses. When the limits change, a new
+// http.Server takes over new connections; those that are open stay with their server.
 type servers struct {
 	network graniteknot.Network
 
 	mu sync.Mutex
-	// handler answers callers' requests.
-	handler http.Handler
-	limits  catalog.Limits
-	current *http.Server
-	inlet   *inlet
-	all     []*http.Server
-	open    []net.Listener
-	group   group.Group
+	// handler serves callers' requests.
+	handler        http.Handler
+	limits         catalog.Limits
+	current        *http.Server
+	callerListener *connListener
+	httpServers    []*http.Server
+	listeners      []net.Listener
+	group          group.Group
 }
 
-// requests begins to take callers' connections.
-func (s *servers) requests(ctx context.Context, a graniteknot.Address, h http.Handler) error {
+// serveCallers starts to accept callers' connections.
+func (s *servers) serveCallers(ctx context.Context, a graniteknot.Address, h http.Handler) error {
 	listener, err := s.listen(ctx, a)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	s.handler = h
-	s.renew()
+	s.startServer()
 	s.mu.Unlock()
-	s.group.Go(func(context.Context) { s.accept(listener) })
+	s.group.Go(func(context.Context) { s.acceptCallers(listener) })
 	return nil
 }
 
@@ -59,74 +58,75 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open = append(s.open, listener)
+	s.listeners = append(s.listeners, listener)
 	return listener, nil
 }
 
-func (s *servers) accept(l net.Listener) {
+// acceptCallers passes each accepted connection to the current server.
+func (s *servers) acceptCallers(l net.Listener) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
 			return
 		}
 		s.mu.Lock()
-		in := s.inlet
+		listener := s.callerListener
 		s.mu.Unlock()
-		in.put(conn)
+		listener.deliver(conn)
 	}
 }
 
-// limit takes new limits into force.
-func (s *servers) limit(l catalog.Limits) {
+// setLimits applies new limits to connections accepted from now on.
+func (s *servers) setLimits(l catalog.Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.handler == nil || l == s.limits {
 		return
 	}
 	s.limits = l
-	s.renew()
+	s.startServer()
 }
 
-// renew begins a server with the limits in force; called with the lock held.
-func (s *servers) renew() {
+// startServer starts a server with the current limits. The caller holds the lock.
+func (s *servers) startServer() {
 	server := &http.Server{
 		Handler: s.handler, MaxHeaderBytes: s.limits.HeaderBytes,
-		ReadHeaderTimeout: orTime(s.limits.HeaderTime, headTime), IdleTimeout: orTime(s.limits.IdleTime, idleTime),
-		ErrorLog: log.New(discard{}, "", 0),
+		ReadHeaderTimeout: orDefault(s.limits.HeaderTime, defaultHeaderTimeout), IdleTimeout: orDefault(s.limits.IdleTime, defaultIdleTimeout),
+		ErrorLog: log.New(discardLog{}, "", 0),
 	}
-	in := &inlet{conns: make(chan net.Conn), done: make(chan struct{})}
-	s.current, s.inlet = server, in
-	s.all = append(s.all, server)
-	s.group.Go(func(context.Context) { _ = server.Serve(in) })
+	listener := &connListener{conns: make(chan net.Conn), done: make(chan struct{})}
+	s.current, s.callerListener = server, listener
+	s.httpServers = append(s.httpServers, server)
+	s.group.Go(func(context.Context) { _ = server.Serve(listener) })
 }
 
-// plain serves a handler at an address.
-func (s *servers) plain(ctx context.Context, a graniteknot.Address, h http.Handler) error {
+// serveHandler starts to serve a handler at an address.
+func (s *servers) serveHandler(ctx context.Context, a graniteknot.Address, h http.Handler) error {
 	listener, err := s.listen(ctx, a)
 	if err != nil {
 		return err
 	}
-	server := &http.Server{Handler: h, ReadHeaderTimeout: headTime, IdleTimeout: idleTime, ErrorLog: log.New(discard{}, "", 0)}
+	server := &http.Server{Handler: h, ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout, ErrorLog: log.New(discardLog{}, "", 0)}
 	s.mu.Lock()
-	s.all = append(s.all, server)
+	s.httpServers = append(s.httpServers, server)
 	s.mu.Unlock()
 	s.group.Go(func(context.Context) { _ = server.Serve(listener) })
 	return nil
 }
 
-// close lets the open requests end until ctx is done, then breaks them off.
-func (s *servers) close(ctx context.Context) {
+// shutdown closes the listeners, waits for open requests until ctx is done, then aborts them.
+func (s *servers) shutdown(ctx context.Context) {
 	s.mu.Lock()
-	all, open, in := s.all, s.open, s.inlet
+	running, listeners, callers := s.httpServers, s.listeners, s.callerListener
 	s.mu.Unlock()
-	for _, l := range open {
+	for _, l := range listeners {
 		_ = l.Close()
 	}
-	if in != nil {
-		_ = in.Close()
+	if callers != nil {
+		_ = callers.Close()
 	}
 	var wait group.Group
-	for _, server := range all {
+	for _, server := range running {
 		wait.Go(func(context.Context) {
 			if err := server.Shutdown(ctx); err != nil {
 				_ = server.Close()
@@ -137,16 +137,16 @@
 	s.group.Wait()
 }
 
-func orTime(v, fallback time.Duration) time.Duration {
+func orDefault(v, fallback time.Duration) time.Duration {
 	if v > 0 {
 		return v
 	}
 	return fallback
 }
 
-// discard drops what net/http says of broken connections, which callers cause
-// at will.
-type discard struct{}
+// discardLog drops the messages of net/http about broken connections, which callers could
+// otherwise flood the log with.
+type discardLog struct{}
 
 // Write implements io.Writer.
-func (discard) Write(b []byte) (int, error) { return len(b), nil }
+func (discardLog) Write(b []byte) (int, error) { return len(b), nil }
--- a/internal/core/gateway/stop.go
+++ b/internal/core/gateway/stop.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	// farewell is how long a leaving gateway still takes connections: callers
-	// keep its address until their answers run out, and skip it once it refuses.
-	farewell = 2500 * time.Millisecond
-	// lastPart is what is left of a planned stop for breaking off what did not
-	// end.
-	lastPart = 700 * time.Millisecond
+	// drainDelay is how long a leaving gateway still accepts connections: callers use its address
+	// until their cached answers expire, and skip it once it refuses connections.
+	drainDelay = 2500 * time.Millisecond
+	// abortReserve is the part of the shutdown bound that is reserved for aborting requests that
+	// are still open.
+	abortReserve = 700 * time.Millisecond
 )
 
-// Stop is a planned stop: the gateway goes out of the answers, serves what is
-// open and what still comes, and ends within the bound in its settings.
+// Stop shuts the gateway down gracefully: it leaves the address answers, serves open and late
+// requests, and returns within the configured stop bound.
 func (g *Gateway) Stop(ctx context.Context) {
 	began := time.Now()
 	g.leaving.Store(true)
-	g.Log.Info("leaving", eventlog.Milliseconds("bound", g.bounds.Load().Stop))
-	g.hello()
-	delay.For(ctx, farewell)
-	bounded, cancel := context.WithDeadline(ctx, began.Add(g.bounds.Load().Stop-lastPart))
+	g.Log.Info("leaving", eventlog.Milliseconds("bound", g.reloadable.Load().Stop))
+	g.sendHeartbeat()
+	delay.For(ctx, drainDelay)
+	bounded, cancel := context.WithDeadline(ctx, began.Add(g.reloadable.Load().Stop-abortReserve))
 	defer cancel()
-	g.servers.close(bounded)
+	g.servers.shutdown(bounded)
 	g.group.Stop()
 	g.Forwarder.Stop()
 	g.socket.Close()
