--- a/internal/core/fleet/limit.go
+++ b/internal/core/fleet/limit.go
@@ -50,7 +50,7 @@
 // says takes in what an answer to a request that was sent at a time says of what its life takes,
 // and tells the others; it returns whether that is new. An answer ends only what was said before
 // its request was sent: answers pass one another. Called with the lock held.
-func (t *Table) says(x *target, w Word, sent, now time.Time) bool {
+func (t *Table) says(x *target, w Feedback, sent, now time.Time) bool {
 	changed := false
 	for _, told := range w.told(x, sent, t.outbox.self) {
 		known := t.wordOf(x, now)
@@ -63,8 +63,8 @@
 }
 
 // told is what a word says of its life that may be new.
-func (w Word) told(x *target, sent time.Time, self quota.Box) []quota.Told {
-	if w == (Word{Answered: true, Unlimited: true}) && (x.word == nil || !x.word.limit.holds()) {
+func (w Feedback) told(x *target, sent time.Time, self quota.Box) []quota.Told {
+	if w == (Feedback{Answered: true, Unlimited: true}) && (x.word == nil || !x.word.limit.holds()) {
 		return nil
 	}
 	key := quota.KeyOf(x.replica.Life())
@@ -76,7 +76,7 @@
 		out = append(out, quota.Told{Key: key})
 	}
 	switch {
-	case w.Rest > 0:
+	case w.Backoff > 0:
 		out = append(out, quota.Told{Key: key, Subject: quota.SubjectRest, Holds: true, By: self})
 	case w.Answered && x.word != nil && sent.After(x.word.limit.shed.as):
 		out = append(out, quota.Told{Key: key, Subject: quota.SubjectRest})
@@ -155,9 +155,9 @@
 
 func milliseconds(d time.Duration) int64 { return max(0, d.Milliseconds()) }
 
-// Told takes in what another process told of a life, unless something later is known. It
+// ApplyNotice takes in what another process told of a life, unless something later is known. It
 // returns whether that is new.
-func (t *Table) Told(w *quota.Told, now time.Time) bool {
+func (t *Table) ApplyNotice(w *quota.Told, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.told(w, now)
@@ -181,9 +181,9 @@
 	return true
 }
 
-// Takes returns how many requests a second a life takes, as far as it is known to be limited,
+// LimitOf returns how many requests a second a life takes, as far as it is known to be limited,
 // and what is known of it.
-func (t *Table) Takes(life catalog.Life, now time.Time) (rate quota.Rate, limited bool, told []quota.Told) {
+func (t *Table) LimitOf(life catalog.Life, now time.Time) (rate quota.Rate, limited bool, told []quota.Told) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := t.words[life]
--- a/internal/core/fleet/limit_test.go
+++ b/internal/core/fleet/limit_test.go
@@ -10,8 +10,8 @@
 	"graniteknot.org/go/internal/core/quota"
 )
 
-func named(rate quota.Rate) fleet.Word {
-	return fleet.Word{Limit: quota.Word{Named: true, Rate: rate}}
+func named(rate quota.Rate) fleet.Feedback {
+	return fleet.Feedback{Limit: quota.Word{Named: true, Rate: rate}}
 }
 
 // TestLimitEndsByLaterAnswersOnly has answers pass one another: one without a limit whose
@@ -19,25 +19,25 @@
 func TestLimitEndsByLaterAnswersOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := with("a")
-		table.OnOutbox(1, func() {})
+		table.NotifyOutbox(1, func() {})
 		now := time.Now()
 		first := table.Pick(&fleet.Query{Service: plain, Now: now})
 		second := table.Pick(&fleet.Query{Service: plain, Now: now})
-		if !first.Says(named(2), now) || first.Says(named(2), now) {
+		if !first.ApplyFeedback(named(2), now) || first.ApplyFeedback(named(2), now) {
 			t.Error("only the first word of a limit is new")
 		}
-		told, _ := table.Outbox(now)
+		told, _ := table.DrainOutbox(now)
 		if len(told) != 1 || !told[0].Holds || told[0].Rate != 2 {
 			t.Errorf("told %+v", told)
 		}
-		if second.Says(fleet.Word{Unlimited: true}, now.Add(time.Millisecond)) || len(table.Limits(now)) != 1 {
+		if second.ApplyFeedback(fleet.Feedback{Unlimited: true}, now.Add(time.Millisecond)) || len(table.Limits(now)) != 1 {
 			t.Error("an answer from before the limit was named ends it")
 		}
 		life := first.Replica.Life()
-		if table.Told(&quota.Told{Key: quota.KeyOf(life), Age: 50}, now.Add(10*time.Millisecond)) {
+		if table.ApplyNotice(&quota.Told{Key: quota.KeyOf(life), Age: 50}, now.Add(10*time.Millisecond)) {
 			t.Error("what another process heard before ends it")
 		}
-		if !table.Told(&quota.Told{Key: quota.KeyOf(life), Age: 5}, now.Add(10*time.Millisecond)) || len(table.Limits(now)) != 0 {
+		if !table.ApplyNotice(&quota.Told{Key: quota.KeyOf(life), Age: 5}, now.Add(10*time.Millisecond)) || len(table.Limits(now)) != 0 {
 			t.Error("what another process heard later does not end it")
 		}
 	})
@@ -49,7 +49,7 @@
 	now := time.Now()
 	table := with("a")
 	l := table.Pick(&fleet.Query{Service: plain, Now: now})
-	l.Says(named(0), now)
+	l.ApplyFeedback(named(0), now)
 	l.End(fleet.VerdictGood, now)
 	if table.Pick(&fleet.Query{Service: plain, Now: now}) != nil {
 		t.Error("a replica that takes nothing is chosen")
@@ -67,7 +67,7 @@
 	}
 	table.Put(catalog.Replica{ID: "b", Service: "s", Address: "b"}, now)
 	table.Remove("b")
-	if table.Told(&quota.Told{Key: quota.KeyOf(catalog.Life{ID: "b"}), Holds: true, Rate: 1}, now); len(table.Limits(now)) != 2 {
+	if table.ApplyNotice(&quota.Told{Key: quota.KeyOf(catalog.Life{ID: "b"}), Holds: true, Rate: 1}, now); len(table.Limits(now)) != 2 {
 		t.Error("the limit of a life whose record is gone is forgotten")
 	}
 }
@@ -78,7 +78,7 @@
 	began := time.Now()
 	table := with("a")
 	l := table.Pick(&fleet.Query{Service: plain, Now: began})
-	l.Says(named(1), began)
+	l.ApplyFeedback(named(1), began)
 	sent := 0
 	for at := time.Duration(0); at < 20*time.Second; at += 20 * time.Millisecond {
 		if at > 8*time.Second && at < 12*time.Second {
--- a/internal/core/fleet/outbox.go
+++ b/internal/core/fleet/outbox.go
@@ -19,10 +19,10 @@
 	self  quota.Box
 }
 
-// OnOutbox sets what is called, without waiting and with the table's lock held, when
+// NotifyOutbox sets what is called, without waiting and with the table's lock held, when
 // something is to be told or asked, and what the others call this process. Without it nothing
 // is, and the table is the home of all limits.
-func (t *Table) OnOutbox(self quota.Box, ready func()) {
+func (t *Table) NotifyOutbox(self quota.Box, ready func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.outbox.self, t.outbox.ready = self, ready
@@ -36,9 +36,9 @@
 	}
 }
 
-// Outbox returns what is to be told to all, and the permits to ask the limits' homes for. Each
+// DrainOutbox returns what is to be told to all, and the permits to ask the limits' homes for. Each
 // ask also says how many before it had no answer.
-func (t *Table) Outbox(now time.Time) (told []quota.Told, asks []LimitAsk) {
+func (t *Table) DrainOutbox(now time.Time) (told []quota.Told, asks []PermitRequest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	told, t.outbox.told = t.outbox.told, nil
@@ -53,22 +53,22 @@
 			continue
 		}
 		delete(t.outbox.asking, life)
-		ask := LimitAsk{Ask: quota.Ask{Key: quota.KeyOf(life), Told: w.tellings(life, now), Want: want}}
-		ask.Number, ask.Silent = w.limit.part.Asked(now)
+		ask := PermitRequest{Ask: quota.Ask{Key: quota.KeyOf(life), Told: w.tellings(life, now), Want: want}}
+		ask.Number, ask.Unanswered = w.limit.part.Asked(now)
 		asks = append(asks, ask)
 	}
 	return told, asks
 }
 
-// LimitAsk is an ask, and how many before it were not answered.
-type LimitAsk struct {
+// PermitRequest is an ask, and how many before it were not answered.
+type PermitRequest struct {
 	quota.Ask
 
-	Silent int
+	Unanswered int
 }
 
-// Granted takes in a home's answer; false where it is not to the last ask, or came too late.
-func (t *Table) Granted(g *quota.Grant, now time.Time) bool {
+// ApplyGrant takes in a home's answer; false where it is not to the last ask, or came too late.
+func (t *Table) ApplyGrant(g *quota.Grant, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := range g.Told {
--- a/internal/core/fleet/rest_test.go
+++ b/internal/core/fleet/rest_test.go
@@ -36,14 +36,14 @@
 		for _, id := range ids {
 			table.Put(replica(catalog.ReplicaID(id)), g.now.Add(-time.Hour))
 		}
-		table.OnOutbox(quota.Box(i), func() {})
+		table.NotifyOutbox(quota.Box(i), func() {})
 		g.tables = append(g.tables, table)
 	}
 	return g
 }
 
 // step has a request come at one gateway; says is what the replica answers.
-func (g *gateways) step(says func(id string) fleet.Word) {
+func (g *gateways) step(says func(id string) fleet.Feedback) {
 	g.now = g.now.Add(g.every)
 	g.deliver()
 	table := g.tables[g.rng.IntN(g.asked)]
@@ -60,29 +60,29 @@
 	if w.Answered {
 		l.Heard(later)
 	}
-	l.Says(w, later)
+	l.ApplyFeedback(w, later)
 	l.End(fleet.VerdictGood, later)
 }
 
 func (g *gateways) deliver() {
 	for i, from := range g.tables {
-		told, asks := from.Outbox(g.now)
+		told, asks := from.DrainOutbox(g.now)
 		for j, to := range g.tables {
 			for k := range told {
 				if i != j {
-					to.Told(&told[k], g.now)
+					to.ApplyNotice(&told[k], g.now)
 				}
 			}
 		}
 		for k := range asks {
 			a := &asks[k]
-			rate, limited, known := g.tables[0].Takes(a.Key.Life(), g.now)
+			rate, limited, known := g.tables[0].LimitOf(a.Key.Life(), g.now)
 			grant := quota.Grant{Key: a.Key}
 			if limited {
 				grant = g.home.Deal(g.now, a.Key.Life(), rate, "box", a.Want)
 			}
 			grant.Number, grant.Told = a.Number, known
-			from.Granted(&grant, g.now)
+			from.ApplyGrant(&grant, g.now)
 		}
 	}
 }
@@ -94,11 +94,11 @@
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			g := newGateways(n, "a", "b", "c")
 			const rest = 3 * time.Second
-			sheds := func(id string) fleet.Word {
+			sheds := func(id string) fleet.Feedback {
 				if id == "a" {
-					return fleet.Word{Rest: rest}
+					return fleet.Feedback{Backoff: rest}
 				}
-				return fleet.Word{Answered: true, Unlimited: true}
+				return fleet.Feedback{Answered: true, Unlimited: true}
 			}
 			for range 290 {
 				g.step(sheds)
@@ -106,7 +106,7 @@
 			if got := g.arrivals["a"]; got > 3 {
 				t.Errorf("%d requests at a replica that turns all away", got)
 			}
-			answers := func(string) fleet.Word { return fleet.Word{Answered: true, Unlimited: true} }
+			answers := func(string) fleet.Feedback { return fleet.Feedback{Answered: true, Unlimited: true} }
 			for range 600 {
 				g.step(answers)
 			}
@@ -129,13 +129,13 @@
 	for one.Replica.ID != "a" {
 		one = g.tables[3].Pick(&fleet.Query{Service: plain, Now: g.now})
 	}
-	one.Says(fleet.Word{Rest: time.Minute}, g.now)
+	one.ApplyFeedback(fleet.Feedback{Backoff: time.Minute}, g.now)
 	g.deliver()
 	if chosen(g.tables[5], g.now)["a"] == 0 {
 		t.Error("another gateway goes by it")
 	}
 	for range 300 {
-		g.step(func(string) fleet.Word { return fleet.Word{Answered: true, Unlimited: true} })
+		g.step(func(string) fleet.Feedback { return fleet.Feedback{Answered: true, Unlimited: true} })
 	}
 	if g.arrivals["a"] < 60 {
 		t.Errorf("%v of 300", g.arrivals)
@@ -157,16 +157,16 @@
 // heard before is the former life's, and so is a word on leaving.
 func TestWordOfALifeThatIsNotYetKnown(t *testing.T) {
 	for name, c := range map[string]struct {
-		word  fleet.Word
+		word  fleet.Feedback
 		heard time.Duration
 		free  bool
 	}{
-		"rest, heard since":     {fleet.Word{Rest: time.Minute}, 2 * time.Second, false},
-		"rest, heard before":    {fleet.Word{Rest: time.Minute}, 500 * time.Millisecond, true},
+		"rest, heard since":     {fleet.Feedback{Backoff: time.Minute}, 2 * time.Second, false},
+		"rest, heard before":    {fleet.Feedback{Backoff: time.Minute}, 500 * time.Millisecond, true},
 		"limit, heard since":    {named(0), 2 * time.Second, false},
 		"limit, heard before":   {named(0), 500 * time.Millisecond, true},
-		"leaving, heard since":  {fleet.Word{Leaving: true}, 2 * time.Second, true},
-		"leaving, heard before": {fleet.Word{Leaving: true}, 500 * time.Millisecond, true},
+		"leaving, heard since":  {fleet.Feedback{Leaving: true}, 2 * time.Second, true},
+		"leaving, heard before": {fleet.Feedback{Leaving: true}, 500 * time.Millisecond, true},
 	} {
 		for _, vanishes := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, ", the record vanishes ", vanishes), func(t *testing.T) { nextLife(t, c.word, c.heard, c.free, vanishes) })
@@ -174,7 +174,7 @@
 	}
 }
 
-func nextLife(t *testing.T, word fleet.Word, heard time.Duration, free, vanishes bool) {
+func nextLife(t *testing.T, word fleet.Feedback, heard time.Duration, free, vanishes bool) {
 	began := time.Now()
 	table := &fleet.Table{}
 	r := replica("a")
@@ -207,7 +207,7 @@
 	r := replica("a")
 	r.Written, r.Beat = 1, 5
 	table.Put(r, began)
-	says(t, table, "a", fleet.Word{Rest: time.Minute}, began.Add(time.Second))
+	says(t, table, "a", fleet.Feedback{Backoff: time.Minute}, began.Add(time.Second))
 	r.Written = graniteknot.PositionOf(1, 0)
 	table.Put(r, began.Add(2*time.Second))
 	r.Born, r.Written, r.Beat = 7, graniteknot.PositionOf(1, 9), 1
--- a/internal/core/fleet/used_test.go
+++ b/internal/core/fleet/used_test.go
@@ -39,9 +39,9 @@
 			began := g.now
 			const lasting, settled, window = 40 * time.Second, 2 * time.Second, 4 * time.Second
 			for g.now.Sub(began) < lasting {
-				g.step(func(id string) fleet.Word {
+				g.step(func(id string) fleet.Feedback {
 					rate, named := limits[id]
-					return fleet.Word{Answered: true, Unlimited: !named, Limit: quota.Word{Named: named, Rate: rate}}
+					return fleet.Feedback{Answered: true, Unlimited: !named, Limit: quota.Word{Named: named, Rate: rate}}
 				})
 			}
 			for id, rate := range limits {
--- a/internal/core/fleet/word.go
+++ b/internal/core/fleet/word.go
@@ -16,10 +16,10 @@
 // permitUse is for how long after it was taken a permit is good for sending the request.
 const permitUse = 500 * time.Millisecond
 
-// Word is what an answer says of the replica that gave it.
-type Word struct {
-	// Rest is for how long the replica wants nothing from this process; 0 for nothing said.
-	Rest time.Duration
+// Feedback is what an answer says of the replica that gave it.
+type Feedback struct {
+	// Backoff is for how long the replica wants nothing from this process; 0 for nothing said.
+	Backoff time.Duration
 	// Leaving tells that it will end as planned.
 	Leaving bool
 	// Limit is what it takes from all processes together.
@@ -59,23 +59,23 @@
 	said time.Time
 }
 
-// Says takes in what an answer says of its replica. It returns whether anything is new.
-func (l *Lease) Says(w Word, now time.Time) bool {
-	if w == (Word{}) {
+// ApplyFeedback takes in what an answer says of its replica. It returns whether anything is new.
+func (l *Lease) ApplyFeedback(w Feedback, now time.Time) bool {
+	if w == (Feedback{}) {
 		return false
 	}
 	t := l.table
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	changed := t.says(l.target, w, l.sent, now)
-	if w.Rest <= 0 {
+	if w.Backoff <= 0 {
 		return changed
 	}
 	known := t.wordOf(l.target, now)
 	before := *known
 	known.unproved, known.restHeard = true, now
 	// A shorter word that comes later, as answers of several requests do, ends no longer one.
-	if until := now.Add(w.Rest); until.After(known.rest) {
+	if until := now.Add(w.Backoff); until.After(known.rest) {
 		known.rest = until
 	}
 	return changed || !before.unproved || !before.rest.After(now)
@@ -186,8 +186,8 @@
 	}
 }
 
-// Words counts the lives whose words are remembered.
-func (t *Table) Words() int {
+// RememberedLives counts the lives whose words are remembered.
+func (t *Table) RememberedLives() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.words)
--- a/internal/core/fleet/word_test.go
+++ b/internal/core/fleet/word_test.go
@@ -13,7 +13,7 @@
 )
 
 // says has a replica say something in an answer to a request that it gets now.
-func says(t *testing.T, table *fleet.Table, id catalog.ReplicaID, w fleet.Word, now time.Time) {
+func says(t *testing.T, table *fleet.Table, id catalog.ReplicaID, w fleet.Feedback, now time.Time) {
 	t.Helper()
 	for range 1000 {
 		l := table.Pick(&fleet.Query{Service: plain, Now: now})
@@ -21,7 +21,7 @@
 			break
 		}
 		if l.Replica.ID == id {
-			l.Says(w, now)
+			l.ApplyFeedback(w, now)
 			l.End(fleet.VerdictFull, now)
 			return
 		}
@@ -49,13 +49,13 @@
 	table := with("a")
 	l := table.Pick(&fleet.Query{Service: plain, Now: now})
 	late := table.Pick(&fleet.Query{Service: plain, Now: now})
-	if !l.Says(fleet.Word{Rest: 3 * time.Second}, now) {
+	if !l.ApplyFeedback(fleet.Feedback{Backoff: 3 * time.Second}, now) {
 		t.Error("a first word is nothing new")
 	}
 	if late.Allowed(now) {
 		t.Error("a request that was chosen before is allowed still")
 	}
-	late.Says(fleet.Word{Rest: time.Second}, now.Add(100*time.Millisecond))
+	late.ApplyFeedback(fleet.Feedback{Backoff: time.Second}, now.Add(100*time.Millisecond))
 	l.End(fleet.VerdictFull, now)
 	late.End(fleet.VerdictFull, now)
 	for _, after := range []time.Duration{0, 1200 * time.Millisecond, 2999 * time.Millisecond} {
@@ -87,7 +87,7 @@
 // TestOthersAreChosenMeanwhile sends nothing to the one that rests, and all to the other.
 func TestOthersAreChosenMeanwhile(t *testing.T) {
 	now := time.Now()
-	for name, w := range map[string]fleet.Word{"rest": {Rest: time.Hour}, "leaving": {Leaving: true}} {
+	for name, w := range map[string]fleet.Feedback{"rest": {Backoff: time.Hour}, "leaving": {Leaving: true}} {
 		table := with("a", "b")
 		says(t, table, "a", w, now)
 		if got := chosen(table, now.Add(time.Minute)); got["a"] > 0 || got["b"] != 100 {
@@ -101,8 +101,8 @@
 func TestWordsOutliveRecords(t *testing.T) {
 	now := time.Now()
 	table := with("rests", "leaves", "drains", "other")
-	says(t, table, "rests", fleet.Word{Rest: time.Hour}, now)
-	says(t, table, "leaves", fleet.Word{Leaving: true}, now)
+	says(t, table, "rests", fleet.Feedback{Backoff: time.Hour}, now)
+	says(t, table, "leaves", fleet.Feedback{Leaving: true}, now)
 	leaving := replica("drains")
 	leaving.Draining = true
 	table.Put(leaving, now)
@@ -137,10 +137,10 @@
 	for i := range lives {
 		id := catalog.ReplicaID(fmt.Sprint("x", i))
 		table.Put(replica(id), now)
-		says(t, table, id, fleet.Word{Leaving: true}, now.Add(time.Duration(i)*time.Millisecond))
+		says(t, table, id, fleet.Feedback{Leaving: true}, now.Add(time.Duration(i)*time.Millisecond))
 		table.Remove(id)
 	}
-	if n := table.Words(); n > 4096 {
+	if n := table.RememberedLives(); n > 4096 {
 		t.Errorf("%d words are remembered", n)
 	}
 	table.Put(replica(catalog.ReplicaID(fmt.Sprint("x", lives-1))), now)
@@ -183,9 +183,9 @@
 		time.AfterFunc(before, func() {
 			table.Report("a", fleet.Load{Taken: time.Now()})
 		})
-		time.AfterFunc(before-time.Millisecond, func() { first.Says(fleet.Word{Rest: rest}, time.Now()) })
+		time.AfterFunc(before-time.Millisecond, func() { first.ApplyFeedback(fleet.Feedback{Backoff: rest}, time.Now()) })
 	} else {
-		first.Says(fleet.Word{Rest: rest}, begin)
+		first.ApplyFeedback(fleet.Feedback{Backoff: rest}, begin)
 	}
 	first.End(fleet.VerdictFull, begin)
 	q := &fleet.Query{Service: engine, Now: time.Now(), Asked: time.Now()}
--- a/internal/core/forward/word.go
+++ b/internal/core/forward/word.go
@@ -18,11 +18,11 @@
 		return
 	}
 	answered := r.said.Sealed && !r.said.NotRun
-	word := fleet.Word{
-		Rest: r.said.Rest, Leaving: r.said.Leaving, Limit: r.said.Limit,
+	word := fleet.Feedback{
+		Backoff: r.said.Rest, Leaving: r.said.Leaving, Limit: r.said.Limit,
 		Answered: answered, Unlimited: answered && !r.said.Limit.Named && !r.said.Limit.Odd,
 	}
-	if l.Says(word, r.f.Clock.Now()) {
+	if l.ApplyFeedback(word, r.f.Clock.Now()) {
 		r.f.Log.Info("replica said", append(said(&r.said), slog.String("replica", l.Replica.Life().String()))...)
 	}
 	if r.said.Rest > 0 {
--- a/internal/core/forward/word_test.go
+++ b/internal/core/forward/word_test.go
@@ -18,8 +18,8 @@
 // request that was chosen for it waits for a connection: that one goes elsewhere, which
 // counts neither as an attempt nor as a retry.
 func TestWordThatComesWhileConnecting(t *testing.T) {
-	for name, word := range map[string]fleet.Word{
-		"rest": {Rest: time.Minute}, "leaving": {Leaving: true}, "limit": {Limit: quota.Word{Named: true}},
+	for name, word := range map[string]fleet.Feedback{
+		"rest": {Backoff: time.Minute}, "leaving": {Leaving: true}, "limit": {Limit: quota.Word{Named: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, catalog.KindOnce, platformtest.Answer("first"), platformtest.Answer("second"))
@@ -28,7 +28,7 @@
 			other := r.forward.Fleet.Pick(&fleet.Query{Service: &catalog.Service{Name: "s"}, Zone: "z0", Now: time.Now()})
 			var once sync.Once
 			r.forward.ConnLimit = func(*catalog.Service) int {
-				once.Do(func() { other.Says(word, time.Now()) })
+				once.Do(func() { other.ApplyFeedback(word, time.Now()) })
 				return 0
 			}
 			// Its place is given back, so that the request is chosen for the same replica.
--- a/internal/core/gateway/gateway.go
+++ b/internal/core/gateway/gateway.go
@@ -144,7 +144,7 @@
 		Budgets: &forward.Budgets{Percent: g.retryPercent, Burst: g.retryBurst},
 	}
 	g.Quarantine.Changed = g.quarantineChanged
-	g.Fleet.OnOutbox(quota.BoxOf(p.Config.Box), g.limitsDue)
+	g.Fleet.NotifyOutbox(quota.BoxOf(p.Config.Box), g.limitsDue)
 	return g
 }
 
--- a/internal/core/gateway/limits.go
+++ b/internal/core/gateway/limits.go
@@ -46,7 +46,7 @@
 
 func (g *Gateway) sendLimitsNow() {
 	now := g.Clock.Now()
-	told, asks := g.Fleet.Outbox(now)
+	told, asks := g.Fleet.DrainOutbox(now)
 	if len(told) > 0 {
 		g.tellLimits(told, g.Members.Audience(g.Config.Box, now))
 		if g.relaying.Load() {
@@ -80,11 +80,11 @@
 }
 
 // askLimit asks a limit's home for permits.
-func (g *Gateway) askLimit(a *fleet.LimitAsk, now time.Time) {
+func (g *Gateway) askLimit(a *fleet.PermitRequest, now time.Time) {
 	life := a.Key.Life()
-	home := g.limitHome(life, a.Silent/mostSilent, now)
+	home := g.limitHome(life, a.Unanswered/mostSilent, now)
 	g.countLimit("graniteknot_limit_asks_total", "sent", 1)
-	if a.Silent > 0 {
+	if a.Unanswered > 0 {
 		g.countLimit("graniteknot_limit_asks_total", "unanswered", 1)
 	}
 	if home == nil {
@@ -129,7 +129,7 @@
 		g.tookLimit(&a.Told[i], now)
 	}
 	life := a.Key.Life()
-	rate, limited, told := g.Fleet.Takes(life, now)
+	rate, limited, told := g.Fleet.LimitOf(life, now)
 	grant := quota.Grant{Key: a.Key}
 	if limited {
 		grant = g.Limits.Deal(now, life, rate, box, a.Want)
@@ -140,7 +140,7 @@
 }
 
 func (g *Gateway) granted(grant *quota.Grant, now time.Time) {
-	if g.Fleet.Granted(grant, now) {
+	if g.Fleet.ApplyGrant(grant, now) {
 		g.countLimit("graniteknot_limit_permits_total", "granted", grant.Count)
 	}
 }
@@ -174,7 +174,7 @@
 
 // tookLimit takes in what another gateway knows of a limit; it returns whether that is new.
 func (g *Gateway) tookLimit(w *quota.Told, now time.Time) bool {
-	if !g.Fleet.Told(w, now) {
+	if !g.Fleet.ApplyNotice(w, now) {
 		return false
 	}
 	g.Log.Info("replica told", slog.String("replica", w.Key.Life().String()), slog.String("subject", w.Subject.String()),
