--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -135,8 +135,8 @@
 		for ; n < 10; n++ {
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
-			query := &fleet.Query{Service: engine, Gap: 100 * time.Millisecond, Now: now}
-			if table.Acquire(ctx, query, fleet.Waiting{Aim: now, Last: now}) == nil {
+			query := &fleet.Query{Service: engine, MaxGap: 100 * time.Millisecond, Now: now}
+			if table.Acquire(ctx, query, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now}) == nil {
 				break
 			}
 		}
@@ -166,13 +166,13 @@
 		start := time.Now()
 		var held []*fleet.Lease
 		for range 4 {
-			held = append(held, table.Acquire(t.Context(), &fleet.Query{Service: engine, Now: start}, fleet.Waiting{}))
+			held = append(held, table.Acquire(t.Context(), &fleet.Query{Service: engine, Now: start}, fleet.WaitBounds{}))
 		}
 		order := make(chan string, 4)
 		var callers sync.WaitGroup
 		wait := func(name string, urgency catalog.Urgency, aim, last time.Duration) {
 			query := &fleet.Query{Service: engine, Urgency: urgency, Now: time.Now()}
-			lease := table.Acquire(t.Context(), query, fleet.Waiting{Aim: start.Add(aim), Last: start.Add(last)})
+			lease := table.Acquire(t.Context(), query, fleet.WaitBounds{FirstEventBy: start.Add(aim), GiveUpAt: start.Add(last)})
 			if lease == nil {
 				order <- name + " gave up"
 				return
@@ -215,7 +215,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	n := 0
-	for table.Acquire(ctx, &fleet.Query{Service: engine, Now: now}, fleet.Waiting{Aim: now, Last: now}) != nil {
+	for table.Acquire(ctx, &fleet.Query{Service: engine, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now}) != nil {
 		n++
 	}
 	if n != 2 {
@@ -236,8 +236,8 @@
 			table.Report("a", fleet.Load{Taken: time.Now()})
 		})
 		asked := time.Now()
-		query := &fleet.Query{Service: engine, Now: asked, Asked: asked}
-		lease := table.Acquire(t.Context(), query, fleet.Waiting{Aim: asked.Add(time.Second), Last: asked.Add(time.Second)})
+		query := &fleet.Query{Service: engine, Now: asked, RequestedAt: asked}
+		lease := table.Acquire(t.Context(), query, fleet.WaitBounds{FirstEventBy: asked.Add(time.Second), GiveUpAt: asked.Add(time.Second)})
 		if lease == nil || time.Since(asked) != 300*time.Millisecond || lease.Inputs.Waited != 300*time.Millisecond {
 			t.Errorf("%+v after %v", lease, time.Since(asked))
 		}
@@ -255,7 +255,7 @@
 	cancel()
 	got := map[catalog.ReplicaID]int{}
 	for range 10 {
-		if l := table.Acquire(ctx, &fleet.Query{Service: engine, Now: now}, fleet.Waiting{Aim: now, Last: now}); l != nil {
+		if l := table.Acquire(ctx, &fleet.Query{Service: engine, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now}); l != nil {
 			got[l.Replica.ID]++
 		}
 	}
@@ -271,7 +271,7 @@
 	cancel()
 	now := time.Now()
 	acquire := func(table *fleet.Table, at time.Time) bool {
-		return table.Acquire(ctx, &fleet.Query{Service: engine, Now: at}, fleet.Waiting{Aim: at, Last: at}) != nil
+		return table.Acquire(ctx, &fleet.Query{Service: engine, Now: at}, fleet.WaitBounds{FirstEventBy: at, GiveUpAt: at}) != nil
 	}
 	table := &fleet.Table{}
 	table.Put(replica("a"), now)
--- a/internal/core/fleet/forecast_test.go
+++ b/internal/core/fleet/forecast_test.go
@@ -24,7 +24,7 @@
 	put("c", "g", 3.4, 8)
 	put("d", "h", 1.5, 2)
 	for skew, others := range map[float64][]catalog.Life{1.2: {{ID: "d"}}, 1.5: {{ID: "a"}, {ID: "b"}, {ID: "c"}}} {
-		lease := table.Pick(&fleet.Query{Service: grouped, Gap: usefulGap, Now: now, Tried: others})
+		lease := table.Pick(&fleet.Query{Service: grouped, MaxGap: usefulGap, Now: now, Tried: others})
 		if lease == nil || lease.Inputs.Skew != skew {
 			t.Errorf("want skew %v: %+v", skew, lease)
 		}
--- a/internal/core/fleet/group.go
+++ b/internal/core/fleet/group.go
@@ -114,7 +114,7 @@
 	if q.Service.Engine == nil {
 		return s
 	}
-	s.room = roomOf(q.Service.Engine, q.Gap, &s.load)
+	s.room = roomOf(q.Service.Engine, q.MaxGap, &s.load)
 	for _, x := range g.targets {
 		if !s.takes(x, q.Now) {
 			continue
--- a/internal/core/fleet/group_test.go
+++ b/internal/core/fleet/group_test.go
@@ -52,7 +52,7 @@
 	table := groups(now, fleet.Load{Forecast: fleet.Forecast{Skew: 1, Number: 1}}, fleet.Load{Forecast: fleet.Forecast{Skew: 3, Number: 1}})
 	sent := map[string]int{}
 	for range 40 {
-		l := table.Pick(&fleet.Query{Service: grouped, Gap: usefulGap, Now: now})
+		l := table.Pick(&fleet.Query{Service: grouped, MaxGap: usefulGap, Now: now})
 		sent[l.Replica.Group]++
 	}
 	// The work of the second takes 0.15 + 0.85 * 3 = 2.7 times as long.
--- a/internal/core/fleet/lease.go
+++ b/internal/core/fleet/lease.go
@@ -27,8 +27,8 @@
 type Inputs struct {
 	// Own and Others are the requests at the replica, this process's and others'.
 	Own, Others int
-	// Room is how many it may have; 0 is no bound.
-	Room int
+	// Capacity is how many it may have; 0 is no bound.
+	Capacity int
 	// Pass is how long its group's passes take; 0 is unknown.
 	Pass time.Duration
 	// Skew is that of the replica's group; 0 is unknown.
@@ -37,8 +37,8 @@
 	ReportAge time.Duration
 	// Waited is how long the request waited for room.
 	Waited time.Duration
-	// Trial tells that the replica had failed before.
-	Trial bool
+	// Probe tells that the replica had failed before.
+	Probe bool
 	// Permit tells that the replica takes only so many requests, and this one had a permit.
 	Permit bool
 }
@@ -70,15 +70,15 @@
 	move func()
 }
 
-// OnSilence gives what breaks the attempt off when the replica falls silent.
-func (l *Lease) OnSilence(move func()) {
+// OnReroute gives what breaks the attempt off when the replica falls silent.
+func (l *Lease) OnReroute(move func()) {
 	l.table.mu.Lock()
 	defer l.table.mu.Unlock()
 	l.move = move
 }
 
-// Move breaks the attempt off.
-func (l *Lease) Move() {
+// Reroute breaks the attempt off.
+func (l *Lease) Reroute() {
 	l.table.mu.Lock()
 	move := l.move
 	l.move = nil
@@ -88,8 +88,8 @@
 	}
 }
 
-// Heard notes a part of the answer.
-func (l *Lease) Heard(now time.Time) {
+// RecordResponse notes a part of the answer.
+func (l *Lease) RecordResponse(now time.Time) {
 	l.table.mu.Lock()
 	defer l.table.mu.Unlock()
 	l.target.heard = now
@@ -109,8 +109,8 @@
 	l.target.latency += time.Duration(smoothing * float64(took-l.target.latency))
 }
 
-// Begun tells whether a part of the answer was noted.
-func (l *Lease) Begun() bool {
+// ResponseStarted tells whether a part of the answer was noted.
+func (l *Lease) ResponseStarted() bool {
 	l.table.mu.Lock()
 	defer l.table.mu.Unlock()
 	return l.begun
--- a/internal/core/fleet/life_test.go
+++ b/internal/core/fleet/life_test.go
@@ -105,7 +105,7 @@
 	}
 	held := table.Pick(&fleet.Query{Service: plain, Now: now.Add(time.Minute)})
 	moved := 0
-	held.OnSilence(func() { moved++ })
+	held.OnReroute(func() { moved++ })
 	former.Draining, former.Written = true, 2
 	table.Put(former, now)
 	before := table.Digest()
@@ -120,12 +120,12 @@
 	}
 	tried := &fleet.Query{Service: plain, Now: now, Tried: []catalog.Life{former.Life()}}
 	l := table.Pick(tried)
-	if l == nil || l.Replica.Born != 90 || l.Inputs.Own != 0 || l.Inputs.Trial {
+	if l == nil || l.Replica.Born != 90 || l.Inputs.Own != 0 || l.Inputs.Probe {
 		t.Fatalf("%+v", l)
 	}
 	_, stuck := table.Watch(now)
 	for _, s := range stuck {
-		s.Move()
+		s.Reroute()
 	}
 	if moved != 1 {
 		t.Errorf("the request at the former life was moved %d times", moved)
--- a/internal/core/fleet/limited_group_test.go
+++ b/internal/core/fleet/limited_group_test.go
@@ -56,8 +56,8 @@
 			}
 			wait.Go(func() {
 				now := time.Now()
-				q := &fleet.Query{Service: grouped, Gap: usefulGap, Now: now, Asked: now}
-				l := table.Acquire(context.Background(), q, fleet.Waiting{Aim: now.Add(500 * time.Millisecond), Last: now.Add(1500 * time.Millisecond)})
+				q := &fleet.Query{Service: grouped, MaxGap: usefulGap, Now: now, RequestedAt: now}
+				l := table.Acquire(context.Background(), q, fleet.WaitBounds{FirstEventBy: now.Add(500 * time.Millisecond), GiveUpAt: now.Add(1500 * time.Millisecond)})
 				mu.Lock()
 				defer mu.Unlock()
 				if l == nil {
@@ -72,7 +72,7 @@
 				if time.Since(now) > 500*time.Millisecond {
 					late++
 				}
-				l.Heard(time.Now())
+				l.RecordResponse(time.Now())
 				l.End(fleet.VerdictGood, time.Now())
 			})
 			time.Sleep(25 * time.Millisecond)
--- a/internal/core/fleet/opening_test.go
+++ b/internal/core/fleet/opening_test.go
@@ -29,7 +29,7 @@
 		for {
 			ctx, cancel := context.WithCancel(t.Context())
 			cancel()
-			l := table.Acquire(ctx, &fleet.Query{Service: grouped, Gap: usefulGap, Now: now, Asked: now}, fleet.Waiting{Aim: now, Last: now})
+			l := table.Acquire(ctx, &fleet.Query{Service: grouped, MaxGap: usefulGap, Now: now, RequestedAt: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now})
 			if l == nil {
 				break
 			}
@@ -38,10 +38,10 @@
 		served := make(chan bool, 2)
 		for _, returned := range []bool{true, false} {
 			go func() {
-				q := &fleet.Query{Service: grouped, Gap: usefulGap, Now: time.Now(), Asked: time.Now()}
-				w := fleet.Waiting{Aim: time.Now().Add(400 * time.Millisecond), Last: time.Now().Add(time.Second)}
+				q := &fleet.Query{Service: grouped, MaxGap: usefulGap, Now: time.Now(), RequestedAt: time.Now()}
+				w := fleet.WaitBounds{FirstEventBy: time.Now().Add(400 * time.Millisecond), GiveUpAt: time.Now().Add(time.Second)}
 				if returned {
-					w.Aim = time.Now().Add(-time.Second)
+					w.FirstEventBy = time.Now().Add(-time.Second)
 				}
 				if table.Acquire(t.Context(), q, w) != nil {
 					served <- returned
@@ -66,8 +66,8 @@
 		table := group(4, fleet.Load{Closed: true}, time.Now())
 		held := func() time.Duration {
 			now := time.Now()
-			q := &fleet.Query{Service: grouped, Gap: usefulGap, Now: now, Asked: now}
-			if l := table.Acquire(t.Context(), q, fleet.Waiting{Aim: now.Add(500 * time.Millisecond), Last: now.Add(1500 * time.Millisecond)}); l != nil {
+			q := &fleet.Query{Service: grouped, MaxGap: usefulGap, Now: now, RequestedAt: now}
+			if l := table.Acquire(t.Context(), q, fleet.WaitBounds{FirstEventBy: now.Add(500 * time.Millisecond), GiveUpAt: now.Add(1500 * time.Millisecond)}); l != nil {
 				t.Error("served by a group that does not run")
 			}
 			return time.Since(now)
--- a/internal/core/fleet/pick.go
+++ b/internal/core/fleet/pick.go
@@ -13,15 +13,15 @@
 	Service *catalog.Service
 	Size    catalog.Size
 	Urgency catalog.Urgency
-	// Gap is the longest useful pause between events; 0 is no bound.
-	Gap time.Duration
+	// MaxGap is the longest useful pause between events; 0 is no bound.
+	MaxGap time.Duration
 	// Tried are not chosen again while others are left.
 	Tried []catalog.Life
 	// Zone is preferred among equals.
 	Zone graniteknot.AvailabilityZone
 	Now  time.Time
-	// Asked is when the choice was first asked for.
-	Asked time.Time
+	// RequestedAt is when the choice was first asked for.
+	RequestedAt time.Time
 	// late requests can't be in time any more.
 	late bool
 }
@@ -79,7 +79,7 @@
 const lapsing = 0.01
 
 func (t *Table) lease(x *target, q *Query) *Lease {
-	l := &Lease{Replica: x.replica, Inputs: t.inputs(x, q), table: t, target: x, size: q.Size, sent: q.Now, engine: q.Service.Engine, gap: q.Gap}
+	l := &Lease{Replica: x.replica, Inputs: t.inputs(x, q), table: t, target: x, size: q.Size, sent: q.Now, engine: q.Service.Engine, gap: q.MaxGap}
 	if x.failures >= patience || x.word != nil && x.word.unproved {
 		l.trial, x.trial = true, true
 	}
@@ -98,16 +98,16 @@
 
 // inputs tells what a choice was made on.
 func (t *Table) inputs(x *target, q *Query) Inputs {
-	in := Inputs{Own: len(x.own), Others: x.others(q.Now), Pass: x.load.Pass, Trial: x.failures >= patience}
+	in := Inputs{Own: len(x.own), Others: x.others(q.Now), Pass: x.load.Pass, Probe: x.failures >= patience}
 	if !x.load.Taken.IsZero() {
 		in.ReportAge = q.Now.Sub(x.load.Taken)
 	}
-	if !q.Asked.IsZero() {
-		in.Waited = q.Now.Sub(q.Asked)
+	if !q.RequestedAt.IsZero() {
+		in.Waited = q.Now.Sub(q.RequestedAt)
 	}
 	if q.Service.Engine != nil {
 		s := x.group.stand(q)
-		in.Room, in.Skew = int(s.room.writers()), s.load.forecast.Skew
+		in.Capacity, in.Skew = int(s.room.writers()), s.load.forecast.Skew
 	}
 	return in
 }
--- a/internal/core/fleet/pick_bench_test.go
+++ b/internal/core/fleet/pick_bench_test.go
@@ -29,8 +29,8 @@
 	table := many(72, now)
 	ctx := context.Background()
 	for b.Loop() {
-		q := &fleet.Query{Service: grouped, Gap: usefulGap, Size: catalog.Size{Prompt: 1}, Now: now, Asked: now}
-		if l := table.Acquire(ctx, q, fleet.Waiting{Aim: now.Add(time.Second), Last: now.Add(time.Second)}); l != nil {
+		q := &fleet.Query{Service: grouped, MaxGap: usefulGap, Size: catalog.Size{Prompt: 1}, Now: now, RequestedAt: now}
+		if l := table.Acquire(ctx, q, fleet.WaitBounds{FirstEventBy: now.Add(time.Second), GiveUpAt: now.Add(time.Second)}); l != nil {
 			l.End(fleet.VerdictGood, now)
 		}
 	}
--- a/internal/core/fleet/play_callers_test.go
+++ b/internal/core/fleet/play_callers_test.go
@@ -63,8 +63,8 @@
 	now := time.Now()
 	ctx, leave := context.WithTimeout(p.ctx, playedLeft)
 	defer leave()
-	q := &fleet.Query{Service: playedEngine, Gap: playedGap, Now: now, Asked: now, Size: catalog.Size{Prompt: graniteknot.Tokens(prompt)}}
-	l := gateway.Acquire(ctx, q, fleet.Waiting{Aim: first.Add(playedAim - 25*time.Millisecond), Last: now.Add(3 * playedAim)})
+	q := &fleet.Query{Service: playedEngine, MaxGap: playedGap, Now: now, RequestedAt: now, Size: catalog.Size{Prompt: graniteknot.Tokens(prompt)}}
+	l := gateway.Acquire(ctx, q, fleet.WaitBounds{FirstEventBy: first.Add(playedAim - 25*time.Millisecond), GiveUpAt: now.Add(3 * playedAim)})
 	if l == nil {
 		if time.Since(now) > 50*time.Millisecond {
 			p.mu.Lock()
@@ -84,7 +84,7 @@
 	for n := range length {
 		select {
 		case at := <-stream.events:
-			l.Heard(at)
+			l.RecordResponse(at)
 			if n == 0 && at.Sub(first) > playedAim {
 				inTime, firstLate = false, true
 			}
--- a/internal/core/fleet/queue.go
+++ b/internal/core/fleet/queue.go
@@ -22,26 +22,26 @@
 // those to come who can be in time.
 const reserved = 0.1
 
-// Waiting bounds how long a request waits for room.
-type Waiting struct {
-	// Aim is by when the first event has to come for the answer to be fully
+// WaitBounds bounds how long a request waits for room.
+type WaitBounds struct {
+	// FirstEventBy is by when the first event has to come for the answer to be fully
 	// useful. Those who can still be in time go before those who can't.
-	Aim time.Time
-	// Last is when waiting is given up.
-	Last time.Time
+	FirstEventBy time.Time
+	// GiveUpAt is when waiting is given up.
+	GiveUpAt time.Time
 }
 
 // waiter is a request that waits for room at an engine.
 type waiter struct {
 	query *Query
-	wait  Waiting
+	wait  WaitBounds
 	// ready gets the lease, nil where waiting is in vain; it has room for one.
 	ready chan *Lease
 }
 
 // Acquire chooses a replica as Pick does, but waits for room at an engine. It
 // returns nil when the wait is over, or no replica may be chosen.
-func (t *Table) Acquire(ctx context.Context, q *Query, w Waiting) *Lease {
+func (t *Table) Acquire(ctx context.Context, q *Query, w WaitBounds) *Lease {
 	if q.Service.Engine == nil && !t.limits(q) {
 		return t.Pick(q)
 	}
@@ -49,7 +49,7 @@
 	if one == nil {
 		return lease
 	}
-	timer := time.NewTimer(t.Clock.Until(w.Last))
+	timer := time.NewTimer(t.Clock.Until(w.GiveUpAt))
 	defer timer.Stop()
 	select {
 	case lease := <-one.ready:
@@ -62,7 +62,7 @@
 
 // enter returns a lease at once, or a place in the queue; neither when no
 // replica may be chosen.
-func (t *Table) enter(q *Query, w Waiting) (*Lease, *waiter) {
+func (t *Table) enter(q *Query, w WaitBounds) (*Lease, *waiter) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.arrivals(q.Service.Name).note(q.Now)
@@ -71,7 +71,7 @@
 	if t.best(q, func(x *target) bool { return !x.ending() }) == nil {
 		return nil, nil
 	}
-	if rest := t.rested(q); rest > 0 && q.Now.Add(rest).After(w.Last) {
+	if rest := t.rested(q); rest > 0 && q.Now.Add(rest).After(w.GiveUpAt) {
 		return nil, nil
 	}
 	if len(t.queues[q.Service.Name]) == 0 {
@@ -151,7 +151,7 @@
 		turn := turn{event: now.Add(t.intake(s).first.expected())}
 		i := turn.first(t.queues[s])
 		one := t.queues[s][i]
-		one.query.Now, one.query.late = now, !one.wait.Aim.After(turn.event)
+		one.query.Now, one.query.late = now, !one.wait.FirstEventBy.After(turn.event)
 		best := t.choose(one.query, true)
 		if best == nil {
 			return
--- a/internal/core/fleet/rest_test.go
+++ b/internal/core/fleet/rest_test.go
@@ -58,7 +58,7 @@
 	w := says(id)
 	later := g.now.Add(3 * time.Millisecond)
 	if w.Answered {
-		l.Heard(later)
+		l.RecordResponse(later)
 	}
 	l.ApplyFeedback(w, later)
 	l.End(fleet.VerdictGood, later)
--- a/internal/core/fleet/room_test.go
+++ b/internal/core/fleet/room_test.go
@@ -42,8 +42,8 @@
 	cancel()
 	n := 0
 	for ; n < 200; n++ {
-		q := &fleet.Query{Service: grouped, Gap: usefulGap, Size: catalog.Size{Prompt: prompt}, Now: now, Asked: now}
-		if t.Acquire(ctx, q, fleet.Waiting{Aim: now, Last: now}) == nil {
+		q := &fleet.Query{Service: grouped, MaxGap: usefulGap, Size: catalog.Size{Prompt: prompt}, Now: now, RequestedAt: now}
+		if t.Acquire(ctx, q, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now}) == nil {
 			break
 		}
 	}
@@ -120,12 +120,12 @@
 				table.Report(replica(id).Address, fleet.Load{Forecast: fleet.Forecast{Skew: 3}, Taken: now})
 			}
 			callers.Go(func() {
-				q := &fleet.Query{Service: grouped, Gap: usefulGap, Now: now, Asked: now}
-				l := table.Acquire(t.Context(), q, fleet.Waiting{Aim: now.Add(aim), Last: now.Add(last)})
+				q := &fleet.Query{Service: grouped, MaxGap: usefulGap, Now: now, RequestedAt: now}
+				l := table.Acquire(t.Context(), q, fleet.WaitBounds{FirstEventBy: now.Add(aim), GiveUpAt: now.Add(last)})
 				switch {
 				case l != nil:
 					time.Sleep(150 * time.Millisecond)
-					l.Heard(time.Now())
+					l.RecordResponse(time.Now())
 					time.Sleep(time.Duration(n%8+1) * 500 * time.Millisecond)
 					l.End(fleet.VerdictGood, time.Now())
 					served.Add(1)
--- a/internal/core/fleet/silence_test.go
+++ b/internal/core/fleet/silence_test.go
@@ -11,7 +11,7 @@
 // acquireAt returns a lease that is to be had at once, or nil.
 func acquireAt(t *testing.T, table *fleet.Table, now time.Time) *fleet.Lease {
 	t.Helper()
-	return table.Acquire(t.Context(), &fleet.Query{Service: engine, Now: now}, fleet.Waiting{Aim: now, Last: now})
+	return table.Acquire(t.Context(), &fleet.Query{Service: engine, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now})
 }
 
 // TestSilentReplicaGetsNothing keeps requests from a replica that neither its
@@ -27,14 +27,14 @@
 		t.Fatal("the idle one was not chosen")
 	}
 	moved := false
-	stuck.OnSilence(func() { moved = true })
+	stuck.OnReroute(func() { moved = true })
 	now = now.Add(time.Second)
 	table.Report("b", fleet.Load{Taken: now, Running: 3})
 	changed, found := table.Watch(now)
 	if len(changed) != 1 || changed[0].Replica != "a" || !changed[0].Silent || len(found) != 1 {
 		t.Fatalf("%+v, %d to be moved", changed, len(found))
 	}
-	found[0].Move()
+	found[0].Reroute()
 	if !moved {
 		t.Error("the request was not moved")
 	}
@@ -61,7 +61,7 @@
 	table.Report("b", fleet.Load{Taken: now, Running: 3})
 	l := acquireAt(t, table, now)
 	now = now.Add(time.Second)
-	l.Heard(now)
+	l.RecordResponse(now)
 	table.Report("b", fleet.Load{Taken: now, Running: 3})
 	if changed, _ := table.Watch(now); len(changed) != 0 {
 		t.Fatalf("%+v of a replica that answers", changed)
@@ -110,11 +110,11 @@
 		ids := map[catalog.ReplicaID]*fleet.Lease{}
 		moved := 0
 		for len(ids) < 3 {
-			l := table.Acquire(t.Context(), &fleet.Query{Service: grouped, Gap: usefulGap, Now: now}, fleet.Waiting{Aim: now, Last: now})
+			l := table.Acquire(t.Context(), &fleet.Query{Service: grouped, MaxGap: usefulGap, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now})
 			if l == nil {
 				t.Fatal("no room")
 			}
-			l.OnSilence(func() { moved++ })
+			l.OnReroute(func() { moved++ })
 			ids[l.Replica.ID] = l
 		}
 		now = now.Add(100 * time.Millisecond)
@@ -130,13 +130,13 @@
 			if l.Replica.ID != "c" {
 				t.Errorf("one at %s is moved", l.Replica.ID)
 			}
-			l.Move()
+			l.Reroute()
 		}
 		if (moved > 0) != crippling {
 			t.Errorf("pace %v: %d moved", pace, moved)
 		}
 		for range 10 {
-			l := table.Acquire(t.Context(), &fleet.Query{Service: grouped, Gap: usefulGap, Now: now}, fleet.Waiting{Aim: now, Last: now})
+			l := table.Acquire(t.Context(), &fleet.Query{Service: grouped, MaxGap: usefulGap, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now})
 			if l != nil && l.Replica.ID == "c" && crippling {
 				t.Fatal("a rank that makes all passes too long gets a request")
 			}
@@ -159,8 +159,8 @@
 	if first == nil || second == nil || first.Replica.ID == second.Replica.ID {
 		t.Fatal("the two replicas did not get a request each")
 	}
-	first.Heard(now)
-	second.Heard(now)
+	first.RecordResponse(now)
+	second.RecordResponse(now)
 	for range 20 {
 		now = now.Add(100 * time.Millisecond)
 		report()
@@ -168,8 +168,8 @@
 			t.Fatalf("%+v while the group stands", changed)
 		}
 	}
-	first.OnSilence(func() {})
-	second.Heard(now)
+	first.OnReroute(func() {})
+	second.RecordResponse(now)
 	changed, stuck := table.Watch(now)
 	if len(changed) != 1 || changed[0].Replica != first.Replica.ID || !changed[0].Silent || len(stuck) != 1 {
 		t.Errorf("%+v, %d to be moved", changed, len(stuck))
--- a/internal/core/fleet/turn.go
+++ b/internal/core/fleet/turn.go
@@ -25,9 +25,9 @@
 	if a.query.Urgency != b.query.Urgency {
 		return a.query.Urgency < b.query.Urgency
 	}
-	inTime, other := a.wait.Aim.After(t.event), b.wait.Aim.After(t.event)
+	inTime, other := a.wait.FirstEventBy.After(t.event), b.wait.FirstEventBy.After(t.event)
 	if inTime != other {
 		return inTime
 	}
-	return a.wait.Aim.Before(b.wait.Aim)
+	return a.wait.FirstEventBy.Before(b.wait.FirstEventBy)
 }
--- a/internal/core/fleet/wait.go
+++ b/internal/core/fleet/wait.go
@@ -14,7 +14,7 @@
 // be in time behind those before it, or it will be late but served while its caller
 // waits; or how much the groups bear is not known, since none runs yet or one has just
 // begun to. Others are better told at once. Called with the lock held.
-func (t *Table) worthWaiting(q *Query, w Waiting) bool {
+func (t *Table) worthWaiting(q *Query, w WaitBounds) bool {
 	s := q.Service.Name
 	rate := t.answers(q)
 	switch {
@@ -31,11 +31,11 @@
 	}
 	inTime, all := t.ahead(s, q, w)
 	first := t.intake(s).first.expected()
-	if start := q.Now.Add(after(inTime, rate)); start.Add(first).Before(w.Aim) {
+	if start := q.Now.Add(after(inTime, rate)); start.Add(first).Before(w.FirstEventBy) {
 		return true
 	}
 	left := rate - t.intake(s).asked.perSecond(q.Now)
-	return left > fewLeft*rate && q.Now.Add(after(all, left)).Before(w.Last)
+	return left > fewLeft*rate && q.Now.Add(after(all, left)).Before(w.GiveUpAt)
 }
 
 // bound tells whether it is the limits of a service's replicas that bound what this process may
@@ -48,8 +48,8 @@
 // permitsFor tells whether a request gets a permit by which it can be in time, behind so many
 // that wait before it: this process holds one, or hears at once whether it gets one. Called
 // with the lock held.
-func (t *Table) permitsFor(q *Query, w Waiting, before int) bool {
-	by := w.Aim.Add(-t.intake(q.Service.Name).first.expected())
+func (t *Table) permitsFor(q *Query, w WaitBounds, before int) bool {
+	by := w.FirstEventBy.Add(-t.intake(q.Service.Name).first.expected())
 	permits, soon := 0, false
 	for _, x := range t.services[q.Service.Name] {
 		if x.barred(q.Now) || !x.limited() {
@@ -64,11 +64,11 @@
 
 // ahead counts those who are served before a request: those who can be in time, and
 // all.
-func (t *Table) ahead(s graniteknot.Service, q *Query, w Waiting) (inTime, all int) {
+func (t *Table) ahead(s graniteknot.Service, q *Query, w WaitBounds) (inTime, all int) {
 	turn := turn{event: q.Now.Add(t.intake(s).first.expected())}
 	mine := &waiter{query: q, wait: w}
 	for _, x := range t.queues[s] {
-		if x.wait.Aim.After(turn.event) && !turn.before(mine, x) {
+		if x.wait.FirstEventBy.After(turn.event) && !turn.before(mine, x) {
 			inTime++
 		}
 		if x.query.Urgency <= q.Urgency {
--- a/internal/core/fleet/word.go
+++ b/internal/core/fleet/word.go
@@ -221,7 +221,7 @@
 	if len(t.queues[s]) == 0 {
 		return
 	}
-	q := &Query{Service: t.queues[s][0].query.Service, Gap: t.queues[s][0].query.Gap, Now: now}
+	q := &Query{Service: t.queues[s][0].query.Service, MaxGap: t.queues[s][0].query.MaxGap, Now: now}
 	if t.bound(q, t.answers(q)) {
 		t.dismissUnpermitted(s, now)
 		return
@@ -231,7 +231,7 @@
 		return
 	}
 	t.queues[s] = slices.DeleteFunc(t.queues[s], func(x *waiter) bool {
-		hopeless := now.Add(rest).After(x.wait.Last)
+		hopeless := now.Add(rest).After(x.wait.GiveUpAt)
 		if hopeless {
 			x.ready <- nil
 		}
--- a/internal/core/fleet/word_test.go
+++ b/internal/core/fleet/word_test.go
@@ -77,7 +77,7 @@
 	if _, usable := table.Count("s", now); usable != 0 {
 		t.Error("more than one request finds out whether it takes any")
 	}
-	trial.Heard(now)
+	trial.RecordResponse(now)
 	if _, usable := table.Count("s", now); usable != 1 {
 		t.Error("not usable after it answered")
 	}
@@ -188,8 +188,8 @@
 		first.ApplyFeedback(fleet.Feedback{Backoff: rest}, begin)
 	}
 	first.End(fleet.VerdictFull, begin)
-	q := &fleet.Query{Service: engine, Now: time.Now(), Asked: time.Now()}
-	l := table.Acquire(ctx, q, fleet.Waiting{Aim: begin.Add(time.Second), Last: begin.Add(1500 * time.Millisecond)})
+	q := &fleet.Query{Service: engine, Now: time.Now(), RequestedAt: time.Now()}
+	l := table.Acquire(ctx, q, fleet.WaitBounds{FirstEventBy: begin.Add(time.Second), GiveUpAt: begin.Add(1500 * time.Millisecond)})
 	if (l != nil) != served {
 		t.Errorf("served: %v", l != nil)
 	}
--- a/internal/core/forward/attempt.go
+++ b/internal/core/forward/attempt.go
@@ -41,7 +41,7 @@
 	stop := context.AfterFunc(r.ctx, conn.Abort)
 	r.move = &mover{conn: conn}
 	if r.movable() {
-		l.OnSilence(r.moveIfAllowed)
+		l.OnReroute(r.moveIfAllowed)
 	}
 	whole := false
 	defer func() {
@@ -121,7 +121,7 @@
 		return stepAgain, refusal(&marks), ReasonRefused, err == nil
 	}
 	r.mayHaveRun = true
-	l.Heard(r.f.Clock.Now())
+	l.RecordResponse(r.f.Clock.Now())
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBody+1))
 	if err != nil || len(body) > maxBody {
 		next, v, why = r.failed(&conns.Error{Op: "read answer", Kind: conns.KindLost, Err: err})
--- a/internal/core/forward/endings.go
+++ b/internal/core/forward/endings.go
@@ -86,7 +86,7 @@
 	noted := make(chan struct{})
 	replica := l.Replica
 	// A lock-step group stands for as long as one of its ranks is away.
-	suspect := replica.Group != "" && !l.Begun()
+	suspect := replica.Group != "" && !l.ResponseStarted()
 	f.endings.group.Go(func(context.Context) {
 		defer close(noted)
 		<-look.over
--- a/internal/core/forward/forward_test.go
+++ b/internal/core/forward/forward_test.go
@@ -250,7 +250,7 @@
 			later := time.Now().Add(time.Minute)
 			r.forward.Fleet.Report(r.replicas[1].Address(), fleet.Load{Taken: later})
 			if _, found := r.forward.Fleet.Watch(later); len(found) == 1 {
-				found[0].Move()
+				found[0].Reroute()
 				return
 			}
 			cancel()
--- a/internal/core/forward/forwarder.go
+++ b/internal/core/forward/forwarder.go
@@ -156,22 +156,22 @@
 func (r *run) query() *fleet.Query {
 	now := r.f.Clock.Now()
 	return &fleet.Query{
-		Service: r.job.Service, Size: r.job.Size, Urgency: r.job.Urgency(), Gap: r.job.Route.GapAim,
-		Tried: r.tried, Zone: r.f.Zone, Now: now, Asked: now,
+		Service: r.job.Service, Size: r.job.Size, Urgency: r.job.Urgency(), MaxGap: r.job.Route.GapAim,
+		Tried: r.tried, Zone: r.f.Zone, Now: now, RequestedAt: now,
 	}
 }
 
 // waiting bounds the wait for room. A caller that comes back counts the aim from its
 // first try. A stream that is broken in the middle waits as one that has just come: its
 // caller counts the pause.
-func (r *run) waiting() fleet.Waiting {
+func (r *run) waiting() fleet.WaitBounds {
 	from, first := r.job.Arrived, r.job.Arrived.Add(-r.result.Since)
 	if r.result.Begun {
 		from, first = r.lastPart, r.lastPart
 	}
-	return fleet.Waiting{
-		Aim:  first.Add(r.job.Route.Aim - aimMargin),
-		Last: from.Add(max(time.Duration(patienceAims*float64(r.job.Route.Aim)), leastPatience)),
+	return fleet.WaitBounds{
+		FirstEventBy: first.Add(r.job.Route.Aim - aimMargin),
+		GiveUpAt:     from.Add(max(time.Duration(patienceAims*float64(r.job.Route.Aim)), leastPatience)),
 	}
 }
 
@@ -260,7 +260,7 @@
 		slog.String("request", string(r.job.ID)), slog.Int("attempt", r.result.Attempts),
 		slog.String("replica", l.Replica.Life().String()), slog.String("address", string(l.Replica.Address)),
 		slog.String("verdict", v.String()), eventlog.Milliseconds("since_arrival", r.f.Clock.Since(r.job.Arrived)),
-		slog.Int("own", in.Own), slog.Int("others", in.Others), slog.Int("room", in.Room), slog.Float64("skew", in.Skew), slog.Bool("trial", in.Trial),
+		slog.Int("own", in.Own), slog.Int("others", in.Others), slog.Int("room", in.Capacity), slog.Float64("skew", in.Skew), slog.Bool("trial", in.Probe),
 		eventlog.Milliseconds("pass", in.Pass), eventlog.Milliseconds("report_age", in.ReportAge), eventlog.Milliseconds("waited", in.Waited),
 	}
 	if in.Permit {
--- a/internal/core/forward/stream.go
+++ b/internal/core/forward/stream.go
@@ -25,7 +25,7 @@
 	for {
 		n, err := answer.Body.Read(buffer)
 		if whole := events.add(buffer[:n]); len(whole) > 0 {
-			l.Heard(r.f.Clock.Now())
+			l.RecordResponse(r.f.Clock.Now())
 			if gone := r.pass(answer, whole, events.last); gone {
 				return stepDone, fleet.VerdictNone, ReasonCallerGone, false
 			}
--- a/internal/core/gateway/follow.go
+++ b/internal/core/gateway/follow.go
@@ -286,6 +286,6 @@
 			eventlog.Milliseconds("unheard", c.Unheard), slog.Int("stuck", len(stuck)))
 	}
 	for _, l := range stuck {
-		l.Move()
+		l.Reroute()
 	}
 }
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -74,7 +74,7 @@
 	},
 	{
 		Name: "who waits is not told that all rest", File: "internal/core/fleet/word.go",
-		Old: "hopeless := now.Add(rest).After(x.wait.Last)", New: "hopeless := false && now.Add(rest).After(x.wait.Last)",
+		Old: "hopeless := now.Add(rest).After(x.wait.GiveUpAt)", New: "hopeless := false && now.Add(rest).After(x.wait.GiveUpAt)",
 		Package: "internal/core/fleet", Test: "TestWhoWaitsForRestedReplicas",
 	},
 	{
