--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -63,14 +63,14 @@
 func TestLapsedComesBackOrGoes(t *testing.T) {
 	table := with("a", "b")
 	start := time.Now()
-	table.Lapse("a", start)
-	table.Lapse("b", start)
+	table.MarkLapsed("a", start)
+	table.MarkLapsed("b", start)
 	back := start.Add(10 * time.Second)
-	if gone := table.Expire(back, back.Add(1900*time.Millisecond)); len(gone) != 0 {
+	if gone := table.RemoveLapsed(back, back.Add(1900*time.Millisecond)); len(gone) != 0 {
 		t.Fatalf("gone too early: %v", gone)
 	}
 	table.Put(replica("b"), back.Add(time.Second))
-	if gone := table.Expire(back, back.Add(2*time.Second)); len(gone) != 1 || gone[0] != "a" {
+	if gone := table.RemoveLapsed(back, back.Add(2*time.Second)); len(gone) != 1 || gone[0] != "a" {
 		t.Fatalf("gone: %v", gone)
 	}
 	if got := pick(table); got != "b" {
@@ -208,7 +208,7 @@
 // is taken.
 func TestCrowdedGatewaysShare(t *testing.T) {
 	table := with("a", "b")
-	table.Share(4)
+	table.SetGateways(4)
 	now := time.Now()
 	table.Report("a", fleet.Load{Running: 3, Taken: now})
 	table.Report("b", fleet.Load{Running: 3, Taken: now})
@@ -228,7 +228,7 @@
 func TestClosedGroupGetsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := with("a")
-		table.Report("a", fleet.Load{Closed: true, Taken: time.Now()})
+		table.Report("a", fleet.Load{GroupDown: true, Taken: time.Now()})
 		var callers sync.WaitGroup
 		defer callers.Wait()
 		callers.Go(func() {
--- a/internal/core/fleet/group_test.go
+++ b/internal/core/fleet/group_test.go
@@ -36,8 +36,8 @@
 	}{
 		"both even":       {[]fleet.Load{even, even}, 2 * 4 * 12},
 		"one uneven":      {[]fleet.Load{even, uneven}, 4*12 + 4*4 + 1},
-		"one closed":      {[]fleet.Load{even, {Closed: true}}, 4 * 12},
-		"all three apart": {[]fleet.Load{even, uneven, {Closed: true}}, 4*12 + 4*4 + 1},
+		"one closed":      {[]fleet.Load{even, {GroupDown: true}}, 4 * 12},
+		"all three apart": {[]fleet.Load{even, uneven, {GroupDown: true}}, 4*12 + 4*4 + 1},
 	} {
 		if got := taken(groups(now, x.loads...), 0, now); got != x.want {
 			t.Errorf("%s: %d requests, want %d", name, got, x.want)
--- a/internal/core/fleet/life.go
+++ b/internal/core/fleet/life.go
@@ -44,9 +44,9 @@
 	}
 }
 
-// Doubted tells whether a sidecar told of a life of late whose record is not known while
+// RecordsStale tells whether a sidecar told of a life of late whose record is not known while
 // that of a former one at its address is: then the records are to be read soon.
-func (t *Table) Doubted(now time.Time) bool {
+func (t *Table) RecordsStale(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for a, known := range t.lives {
--- a/internal/core/fleet/life_test.go
+++ b/internal/core/fleet/life_test.go
@@ -43,7 +43,7 @@
 			if l := table.Pick(&fleet.Query{Service: engine, Now: now}); l != nil {
 				t.Errorf("a request was sent to %q, which has ended", l.Replica.ID)
 			}
-			if !table.Doubted(now) {
+			if !table.RecordsStale(now) {
 				t.Error("the records are not read soon")
 			}
 			table.Put(lived("new", 2), now)
@@ -51,7 +51,7 @@
 			if l == nil || l.Replica.ID != "new" {
 				t.Errorf("the new life got nothing: %v", l)
 			}
-			if table.Doubted(now) {
+			if table.RecordsStale(now) {
 				t.Error("the records are still read soon")
 			}
 		})
@@ -79,7 +79,7 @@
 	table := &fleet.Table{}
 	table.Put(lived("x", 1), now)
 	table.Report("a", fleet.Load{Taken: now})
-	if l := table.Pick(&fleet.Query{Service: engine, Now: now}); l == nil || table.Doubted(now) {
+	if l := table.Pick(&fleet.Query{Service: engine, Now: now}); l == nil || table.RecordsStale(now) {
 		t.Error("a report without a mark counts against its replica")
 	}
 }
@@ -123,7 +123,7 @@
 	if l == nil || l.Replica.Born != 90 || l.Inputs.Own != 0 || l.Inputs.Probe {
 		t.Fatalf("%+v", l)
 	}
-	_, stuck := table.Watch(now)
+	_, stuck := table.Sweep(now)
 	for _, s := range stuck {
 		s.Reroute()
 	}
@@ -148,7 +148,7 @@
 	if l := table.Pick(&fleet.Query{Service: engine, Now: later}); l != nil {
 		t.Errorf("a request was sent to %v, which has ended", l.Replica.Life())
 	}
-	if !table.Doubted(later) {
+	if !table.RecordsStale(later) {
 		t.Error("the records are not read soon")
 	}
 	table.Put(next, later)
--- a/internal/core/fleet/limited_group_test.go
+++ b/internal/core/fleet/limited_group_test.go
@@ -48,7 +48,7 @@
 				id := catalog.ReplicaID(rune('a' + i))
 				table.Report(replica(id).Address, fleet.Load{Running: 1, Pass: 30 * time.Millisecond, Forecast: fleet.Forecast{Skew: 1.2, Number: 1}, Taken: time.Now()})
 			}
-			table.Watch(time.Now())
+			table.Sweep(time.Now())
 			if n >= come {
 				// Who waits is still looked after.
 				time.Sleep(25 * time.Millisecond)
--- a/internal/core/fleet/opening_test.go
+++ b/internal/core/fleet/opening_test.go
@@ -63,7 +63,7 @@
 // and tells them at once that it does not run when it has not for long.
 func TestGroupsThatStayClosedAreNotWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table := group(4, fleet.Load{Closed: true}, time.Now())
+		table := group(4, fleet.Load{GroupDown: true}, time.Now())
 		held := func() time.Duration {
 			now := time.Now()
 			q := &fleet.Query{Service: grouped, MaxGap: usefulGap, Now: now, RequestedAt: now}
@@ -77,7 +77,7 @@
 		}
 		for range 50 {
 			time.Sleep(100 * time.Millisecond)
-			show(table, 4, fleet.Load{Closed: true})
+			show(table, 4, fleet.Load{GroupDown: true})
 		}
 		if got := held(); got != 0 {
 			t.Errorf("held %v for a group that has been closed for over six seconds", got)
--- a/internal/core/fleet/play_pool_test.go
+++ b/internal/core/fleet/play_pool_test.go
@@ -63,7 +63,7 @@
 	p := &pool{t: t, ctx: t.Context(), begun: time.Now()}
 	for range gateways {
 		table := &fleet.Table{}
-		table.Share(gateways)
+		table.SetGateways(gateways)
 		p.gateways = append(p.gateways, table)
 	}
 	for g := range groups {
@@ -109,7 +109,7 @@
 		g.mu.Unlock()
 		var loads []fleet.Load
 		for _, r := range g.ranks {
-			l := fleet.Load{Taken: taken, Closed: !p.open(), Pass: pass}
+			l := fleet.Load{Taken: taken, GroupDown: !p.open(), Pass: pass}
 			r.mu.Lock()
 			l.Running = min(len(r.running), playedEngine.Engine.Slots)
 			l.Waiting = len(r.running) - l.Running
--- a/internal/core/fleet/rest_test.go
+++ b/internal/core/fleet/rest_test.go
@@ -140,7 +140,7 @@
 	if g.arrivals["a"] < 60 {
 		t.Errorf("%v of 300", g.arrivals)
 	}
-	if g.tables[3].Rested(&fleet.Query{Service: plain, Now: g.now}) != 0 || len(g.tables[5].Limits(g.now)) > 1 {
+	if g.tables[3].TimeUntilAvailable(&fleet.Query{Service: plain, Now: g.now}) != 0 || len(g.tables[5].Limits(g.now)) > 1 {
 		t.Errorf("%+v", g.tables[5].Limits(g.now))
 	}
 }
--- a/internal/core/fleet/room.go
+++ b/internal/core/fleet/room.go
@@ -157,7 +157,7 @@
 			continue
 		}
 		n++
-		if x.load.Closed {
+		if x.load.GroupDown {
 			out.closed++
 		}
 		out.pass = max(out.pass, x.load.Pass)
--- a/internal/core/fleet/room_test.go
+++ b/internal/core/fleet/room_test.go
@@ -79,7 +79,7 @@
 func TestNewGroupGetsFew(t *testing.T) {
 	now := time.Now()
 	table := group(12, fleet.Load{}, now)
-	table.Share(6)
+	table.SetGateways(6)
 	if got := taken(table, 800, now); got != 4 {
 		t.Errorf("one of six gateways sent %d requests to 12 engines, want 4 of 24", got)
 	}
--- a/internal/core/fleet/scarce.go
+++ b/internal/core/fleet/scarce.go
@@ -6,8 +6,8 @@
 	graniteknot "graniteknot.org/go"
 )
 
-// Scarce tells whether all of a service's replicas that may be chosen are limited.
-func (t *Table) Scarce(s graniteknot.Service, now time.Time) bool {
+// AllLimited tells whether all of a service's replicas that may be chosen are limited.
+func (t *Table) AllLimited(s graniteknot.Service, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	_, scarce := t.scarce(s, now)
@@ -17,10 +17,10 @@
 // longestPlace bounds when a caller that is refused for want of a permit is told to come back.
 const longestPlace = 5 * time.Second
 
-// Place returns in how long a caller that is refused for want of a permit may come back: each
+// RetryDelay returns in how long a caller that is refused for want of a permit may come back: each
 // so much later than the one before as this process has permits, so that they do not all meet
 // at the first one.
-func (t *Table) Place(q *Query) time.Duration {
+func (t *Table) RetryDelay(q *Query) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	perSecond, scarce := t.scarce(q.Service.Name, q.Now)
--- a/internal/core/fleet/silence.go
+++ b/internal/core/fleet/silence.go
@@ -21,19 +21,19 @@
 	silentTrial = time.Second
 )
 
-// Silence tells that a replica fell silent, or was heard again.
-type Silence struct {
+// SilenceChange tells that a replica fell silent, or was heard again.
+type SilenceChange struct {
 	Replica catalog.ReplicaID
 	Silent  bool
-	// Unheard is how long ago the last sign of life was.
-	Unheard time.Duration
+	// SilentFor is how long ago the last sign of life was.
+	SilentFor time.Duration
 }
 
-// Watch tells which replicas fell silent, or were heard again, since the last
+// Sweep tells which replicas fell silent, or were heard again, since the last
 // call, and returns the own requests at silent ones, and at lives that have ended,
 // that may be moved. Call Move on these. Those who wait for a place get one whose
 // replica has rested meanwhile, or are told that none will in time.
-func (t *Table) Watch(now time.Time) (changed []Silence, stuck []*Lease) {
+func (t *Table) Sweep(now time.Time) (changed []SilenceChange, stuck []*Lease) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	stuck, t.stranded = t.stranded, nil
@@ -44,7 +44,7 @@
 			silent := x.silent(last, answered, now, t.period())
 			if silent != x.cutOff {
 				x.cutOff = silent
-				changed = append(changed, Silence{Replica: x.replica.ID, Silent: silent, Unheard: now.Sub(x.life())})
+				changed = append(changed, SilenceChange{Replica: x.replica.ID, Silent: silent, SilentFor: now.Sub(x.life())})
 			}
 			if silent {
 				stuck = append(stuck, x.stuck(now)...)
--- a/internal/core/fleet/silence_test.go
+++ b/internal/core/fleet/silence_test.go
@@ -30,7 +30,7 @@
 	stuck.OnReroute(func() { moved = true })
 	now = now.Add(time.Second)
 	table.Report("b", fleet.Load{Taken: now, Running: 3})
-	changed, found := table.Watch(now)
+	changed, found := table.Sweep(now)
 	if len(changed) != 1 || changed[0].Replica != "a" || !changed[0].Silent || len(found) != 1 {
 		t.Fatalf("%+v, %d to be moved", changed, len(found))
 	}
@@ -44,7 +44,7 @@
 	// Its sidecar is heard again.
 	stuck.End(fleet.VerdictNone, now)
 	table.Report("a", fleet.Load{Taken: now})
-	if changed, _ := table.Watch(now); len(changed) != 1 || changed[0].Silent {
+	if changed, _ := table.Sweep(now); len(changed) != 1 || changed[0].Silent {
 		t.Errorf("%+v after a report", changed)
 	}
 	if l := acquireAt(t, table, now); l == nil || l.Replica.ID != "a" {
@@ -63,7 +63,7 @@
 	now = now.Add(time.Second)
 	l.RecordResponse(now)
 	table.Report("b", fleet.Load{Taken: now, Running: 3})
-	if changed, _ := table.Watch(now); len(changed) != 0 {
+	if changed, _ := table.Sweep(now); len(changed) != 0 {
 		t.Fatalf("%+v of a replica that answers", changed)
 	}
 	l.End(fleet.VerdictGood, now)
@@ -72,7 +72,7 @@
 	for range 50 {
 		now = now.Add(100 * time.Millisecond)
 		table.Report("b", fleet.Load{Taken: now, Running: 3})
-		table.Watch(now)
+		table.Sweep(now)
 		if silentFor++; silentFor <= 7 {
 			continue
 		}
@@ -95,7 +95,7 @@
 	for _, id := range []catalog.ReplicaID{"a", "b"} {
 		table.Report(replica(id).Address, fleet.Load{Taken: now})
 	}
-	if changed, _ := table.Watch(now.Add(time.Minute)); len(changed) != 0 {
+	if changed, _ := table.Sweep(now.Add(time.Minute)); len(changed) != 0 {
 		t.Errorf("%+v", changed)
 	}
 }
@@ -125,7 +125,7 @@
 			}
 			table.Report(replica(id).Address, load)
 		}
-		_, stuck := table.Watch(now)
+		_, stuck := table.Sweep(now)
 		for _, l := range stuck {
 			if l.Replica.ID != "c" {
 				t.Errorf("one at %s is moved", l.Replica.ID)
@@ -164,13 +164,13 @@
 	for range 20 {
 		now = now.Add(100 * time.Millisecond)
 		report()
-		if changed, _ := table.Watch(now); len(changed) != 0 {
+		if changed, _ := table.Sweep(now); len(changed) != 0 {
 			t.Fatalf("%+v while the group stands", changed)
 		}
 	}
 	first.OnReroute(func() {})
 	second.RecordResponse(now)
-	changed, stuck := table.Watch(now)
+	changed, stuck := table.Sweep(now)
 	if len(changed) != 1 || changed[0].Replica != first.Replica.ID || !changed[0].Silent || len(stuck) != 1 {
 		t.Errorf("%+v, %d to be moved", changed, len(stuck))
 	}
--- a/internal/core/fleet/spread_test.go
+++ b/internal/core/fleet/spread_test.go
@@ -23,7 +23,7 @@
 	got := map[catalog.ReplicaID]int{}
 	for range gateways {
 		table := &fleet.Table{}
-		table.Share(gateways)
+		table.SetGateways(gateways)
 		for i := range engines {
 			id := catalog.ReplicaID(fmt.Sprint("engine-", i))
 			table.Put(replica(id), now.Add(-time.Hour))
@@ -46,7 +46,7 @@
 // requests between two reports.
 func TestQuietGatewaysCompareAll(t *testing.T) {
 	table := with("a", "b", "c", "d", "e", "f")
-	table.Share(1)
+	table.SetGateways(1)
 	now := time.Now()
 	for _, id := range []catalog.ReplicaID{"a", "b", "c", "d", "f"} {
 		table.Report(replica(id).Address, fleet.Load{Running: 2, Taken: now})
--- a/internal/core/fleet/table.go
+++ b/internal/core/fleet/table.go
@@ -64,8 +64,8 @@
 	peers int
 }
 
-// Share tells how many gateways share the replicas now.
-func (t *Table) Share(gateways int) {
+// SetGateways tells how many gateways share the replicas now.
+func (t *Table) SetGateways(gateways int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.peers = gateways
@@ -193,9 +193,9 @@
 	return true
 }
 
-// Lapse notes that a record vanished at a time at which the store can't be
+// MarkLapsed notes that a record vanished at a time at which the store can't be
 // trusted to know.
-func (t *Table) Lapse(id catalog.ReplicaID, now time.Time) bool {
+func (t *Table) MarkLapsed(id catalog.ReplicaID, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	old := t.targets[id]
@@ -206,9 +206,9 @@
 	return true
 }
 
-// Expire removes the replicas whose records vanished, once the store has been
+// RemoveLapsed removes the replicas whose records vanished, once the store has been
 // back since the given time for long enough. It returns their ids.
-func (t *Table) Expire(back, now time.Time) []catalog.ReplicaID {
+func (t *Table) RemoveLapsed(back, now time.Time) []catalog.ReplicaID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []catalog.ReplicaID
--- a/internal/core/fleet/target.go
+++ b/internal/core/fleet/target.go
@@ -17,8 +17,8 @@
 	Pass time.Duration
 	// Forecast is the keeper's of the group; zero from other ranks.
 	Forecast Forecast
-	// Closed groups do not run.
-	Closed bool
+	// GroupDown groups do not run.
+	GroupDown bool
 	// Relayed reports came through another gateway: they do not show that this process
 	// can reach the replica.
 	Relayed bool
@@ -86,7 +86,7 @@
 	if t.load.Taken.IsZero() {
 		return t.usable(now) && now.Sub(t.registered) >= firstReport
 	}
-	closed := t.load.Closed && now.Sub(t.load.Taken) < reportAge
+	closed := t.load.GroupDown && now.Sub(t.load.Taken) < reportAge
 	return t.usable(now) && !closed
 }
 
--- a/internal/core/fleet/wait.go
+++ b/internal/core/fleet/wait.go
@@ -107,9 +107,9 @@
 	return time.Duration(float64(n) / perSecond * float64(time.Second))
 }
 
-// Drained returns in how long those who wait for a service's engines will have been
+// QueueDrainTime returns in how long those who wait for a service's engines will have been
 // served, as this process expects; 0 when none wait.
-func (t *Table) Drained(q *Query) time.Duration {
+func (t *Table) QueueDrainTime(q *Query) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	waiting := len(t.queues[q.Service.Name])
--- a/internal/core/fleet/word.go
+++ b/internal/core/fleet/word.go
@@ -266,9 +266,9 @@
 	return now
 }
 
-// Rested returns in how long the first of a service's replicas will take a request again that
+// TimeUntilAvailable returns in how long the first of a service's replicas will take a request again that
 // all have asked not to be sent now; 0 where one may be chosen before, or none is left.
-func (t *Table) Rested(q *Query) time.Duration {
+func (t *Table) TimeUntilAvailable(q *Query) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.rested(q)
--- a/internal/core/fleet/word_test.go
+++ b/internal/core/fleet/word_test.go
@@ -62,12 +62,12 @@
 		if got := chosen(table, now.Add(after)); len(got) > 0 {
 			t.Errorf("chosen after %v", after)
 		}
-		if rest := table.Rested(&fleet.Query{Service: plain, Now: now.Add(after)}); rest != 3*time.Second-after {
+		if rest := table.TimeUntilAvailable(&fleet.Query{Service: plain, Now: now.Add(after)}); rest != 3*time.Second-after {
 			t.Errorf("after %v rested in %v", after, rest)
 		}
 	}
 	now = now.Add(3 * time.Second)
-	if rest := table.Rested(&fleet.Query{Service: plain, Now: now}); rest != 0 {
+	if rest := table.TimeUntilAvailable(&fleet.Query{Service: plain, Now: now}); rest != 0 {
 		t.Errorf("rested in %v, after the rest", rest)
 	}
 	trial := table.Pick(&fleet.Query{Service: plain, Now: now})
@@ -179,7 +179,7 @@
 	first := table.Pick(&fleet.Query{Service: engine, Now: begin})
 	if before > 0 {
 		// Meanwhile the group is closed, so that the one who waits finds no room.
-		table.Report("a", fleet.Load{Closed: true, Taken: begin})
+		table.Report("a", fleet.Load{GroupDown: true, Taken: begin})
 		time.AfterFunc(before, func() {
 			table.Report("a", fleet.Load{Taken: time.Now()})
 		})
@@ -203,7 +203,7 @@
 func watch(ctx context.Context, table *fleet.Table) {
 	for ctx.Err() == nil {
 		time.Sleep(100 * time.Millisecond)
-		table.Watch(time.Now())
+		table.Sweep(time.Now())
 	}
 }
 
--- a/internal/core/forward/forward_test.go
+++ b/internal/core/forward/forward_test.go
@@ -249,7 +249,7 @@
 			<-stuck
 			later := time.Now().Add(time.Minute)
 			r.forward.Fleet.Report(r.replicas[1].Address(), fleet.Load{Taken: later})
-			if _, found := r.forward.Fleet.Watch(later); len(found) == 1 {
+			if _, found := r.forward.Fleet.Sweep(later); len(found) == 1 {
 				found[0].Reroute()
 				return
 			}
--- a/internal/core/forward/forwarder.go
+++ b/internal/core/forward/forwarder.go
@@ -183,8 +183,8 @@
 	if r.quarantined() {
 		return ReasonQuarantined
 	}
-	if r.f.Fleet.Rested(r.query()) > 0 {
-		if r.f.Fleet.Scarce(r.job.Service.Name, r.f.Clock.Now()) {
+	if r.f.Fleet.TimeUntilAvailable(r.query()) > 0 {
+		if r.f.Fleet.AllLimited(r.job.Service.Name, r.f.Clock.Now()) {
 			return ReasonLimited
 		}
 		return ReasonResting
--- a/internal/core/forward/giveup.go
+++ b/internal/core/forward/giveup.go
@@ -26,11 +26,11 @@
 func (r *run) again(why Reason) time.Duration {
 	q := r.query()
 	if why == ReasonLimited {
-		return r.f.Fleet.Place(q)
+		return r.f.Fleet.RetryDelay(q)
 	}
-	rested := r.f.Fleet.Rested(q)
+	rested := r.f.Fleet.TimeUntilAvailable(q)
 	if why == ReasonBusy {
-		return max(rested, r.f.Fleet.Drained(q))
+		return max(rested, r.f.Fleet.QueueDrainTime(q))
 	}
 	return rested
 }
--- a/internal/core/forward/quarantined_test.go
+++ b/internal/core/forward/quarantined_test.go
@@ -74,7 +74,7 @@
 	table.Ended(key, 1, time.Now())
 	service := &catalog.Service{Name: "s", Engine: &catalog.Engine{Slots: 1, Stride: 1}}
 	// A report of a group that does not run stands for as long as the test does.
-	r.forward.Fleet.Report(r.replicas[0].Address(), fleet.Load{Closed: true, Taken: time.Now().Add(time.Hour)})
+	r.forward.Fleet.Report(r.replicas[0].Address(), fleet.Load{GroupDown: true, Taken: time.Now().Add(time.Hour)})
 	r.route.Aim = long
 	job := &forward.Job{
 		Request: r.request, Route: r.route, Service: service, Account: &catalog.Account{Name: "desk"}, End: time.Now().Add(long),
--- a/internal/core/forward/suspension_test.go
+++ b/internal/core/forward/suspension_test.go
@@ -25,7 +25,7 @@
 // whose group a report says that it does not run, and then opens it.
 func (r *rig) whileWaiting(t *testing.T, service *catalog.Service, then func()) {
 	t.Helper()
-	r.forward.Fleet.Report(r.replicas[0].Address(), fleet.Load{Closed: true, Taken: time.Now().Add(time.Hour)})
+	r.forward.Fleet.Report(r.replicas[0].Address(), fleet.Load{GroupDown: true, Taken: time.Now().Add(time.Hour)})
 	var told group.Group
 	told.Go(func(ctx context.Context) {
 		for r.forward.Fleet.Queued(service) == 0 && ctx.Err() == nil {
--- a/internal/core/gateway/follow.go
+++ b/internal/core/gateway/follow.go
@@ -150,7 +150,7 @@
 	f := watch.Follower{
 		Store: g.Store, Topic: graniteknot.TopicReplicas, Health: &g.Health, Clock: g.Clock, Pause: time.Duration(replicasShare * float64(g.Config.Drain)),
 		Newest: g.resetReplicas, Next: g.takeReplicas, Revalidate: g.revalidateReplicas, Elsewhere: g.replicasElsewhere, RevalidatePause: revalidatePause, Early: true,
-		Urgent: func() bool { return g.Fleet.Doubted(g.Clock.Now()) }, Vital: true, Wake: g.replicasWake,
+		Urgent: func() bool { return g.Fleet.RecordsStale(g.Clock.Now()) }, Vital: true, Wake: g.replicasWake,
 	}
 	f.Run(ctx)
 }
@@ -240,7 +240,7 @@
 // after, records lapse that live replicas will write again.
 func (g *Gateway) vanished(id catalog.ReplicaID) {
 	if g.Health.Doubtful(g.Clock.Now(), doubtTime) {
-		if g.Fleet.Lapse(id, g.Clock.Now()) {
+		if g.Fleet.MarkLapsed(id, g.Clock.Now()) {
 			g.Log.Info("replica lapsed", slog.String("replica", string(id)))
 		}
 		return
@@ -260,7 +260,7 @@
 // configuration becomes too old to trust keys, or new enough again.
 func (g *Gateway) look() {
 	if back, up := g.Health.Back(); up {
-		for _, id := range g.Fleet.Expire(back, g.Clock.Now()) {
+		for _, id := range g.Fleet.RemoveLapsed(back, g.Clock.Now()) {
 			g.shared.dropReplica(string(id))
 			g.Log.Info("replica gone", slog.String("replica", string(id)), slog.Bool("lapsed", true))
 		}
@@ -280,10 +280,10 @@
 	g.sendLimitsNow()
 	g.tellLost()
 	g.Forward.Expire()
-	changed, stuck := g.Fleet.Watch(g.Clock.Now())
+	changed, stuck := g.Fleet.Sweep(g.Clock.Now())
 	for _, c := range changed {
 		g.Log.Warn("replica silent", slog.String("replica", string(c.Replica)), slog.Bool("silent", c.Silent),
-			eventlog.Milliseconds("unheard", c.Unheard), slog.Int("stuck", len(stuck)))
+			eventlog.Milliseconds("unheard", c.SilentFor), slog.Int("stuck", len(stuck)))
 	}
 	for _, l := range stuck {
 		l.Reroute()
--- a/internal/core/gateway/hello.go
+++ b/internal/core/gateway/hello.go
@@ -26,7 +26,7 @@
 		to = g.everybody()
 	}
 	g.socket.Send(g.greeting(), to)
-	g.Fleet.Share(len(g.Members.Alive(presence.RoleGateway, g.Config.Box, now)) + 1)
+	g.Fleet.SetGateways(len(g.Members.Alive(presence.RoleGateway, g.Config.Box, now)) + 1)
 }
 
 // greet tells a new member that this gateway lives.
@@ -198,7 +198,7 @@
 func loadOf(d *presence.Digest, taken time.Time) fleet.Load {
 	return fleet.Load{
 		Running: d.Running, Waiting: d.Waiting, Pace: float64(d.Pace),
-		Pass: time.Duration(d.Pass) * time.Microsecond, Closed: !d.Open, Taken: taken, Life: d.Life,
+		Pass: time.Duration(d.Pass) * time.Microsecond, GroupDown: !d.Open, Taken: taken, Life: d.Life,
 		Forecast: fleet.Forecast{Skew: float64(d.Skew), Loading: d.Loading, Number: d.Forecast},
 	}
 }
