--- a/internal/core/fleet/digest.go
+++ b/internal/core/fleet/digest.go
@@ -6,28 +6,28 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Digest is a sum of what is registered, the same for all who know the same
-// replicas in the same states, whatever the order in which they learned of them.
+// Digest is a hash of the registered replicas and their states. It doesn't
+// depend on the order in which they were learned.
 type Digest uint64
 
-// Digest returns the sum.
+// Digest returns the hash of the table's replicas.
 func (t *Table) Digest() Digest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var out Digest
+	var digest Digest
 	for _, x := range t.targets {
 		var hash xxhash.Digest
 		hash.Reset()
-		// Writes to a hash do not fail.
+		// Writes to a hash never fail.
 		_, _ = hash.WriteString(x.replica.Life().String())
 		_, _ = hash.WriteString("\x00" + string(x.replica.Address) + "\x00")
-		_, _ = hash.Write(binary.AppendUvarint(nil, boolean(x.replica.Draining)))
-		out ^= Digest(hash.Sum64())
+		_, _ = hash.Write(binary.AppendUvarint(nil, boolToUint(x.replica.Draining)))
+		digest ^= Digest(hash.Sum64())
 	}
-	return out
+	return digest
 }
 
-func boolean(b bool) uint64 {
+func boolToUint(b bool) uint64 {
 	if b {
 		return 1
 	}
--- a/internal/core/fleet/doc.go
+++ b/internal/core/fleet/doc.go
@@ -1,5 +1,5 @@
-// Package fleet knows the replicas of each service: which are registered, how
+// Package fleet tracks the replicas of each service: which are registered, how
 // busy they are by their reports and by this process's own requests, and which
-// have failed of late. It chooses the replica for a request. Sending requests is
-// left to the callers.
+// failed recently. It chooses the replica for a request; callers send the requests.
+// A life of a replica is one run of its process.
 package fleet
--- a/internal/core/fleet/forecast.go
+++ b/internal/core/fleet/forecast.go
@@ -2,18 +2,19 @@
 
 import "graniteknot.org/go/catalog"
 
-// Forecast is what the keeper of a lock-step group knows of its passes.
+// Forecast is what the keeper of a lock-step group, the rank that plans its
+// expert map, predicts for the group's passes.
 type Forecast struct {
-	// Skew is the load of the most loaded rank over the mean; 0 is unknown.
+	// Skew is the load of the most loaded rank divided by the mean; 0 if unknown.
 	Skew float64
-	// Loading tells that ranks load experts.
+	// Loading reports whether ranks are loading experts.
 	Loading bool
-	// Number grows from one forecast of a group to the next; 0 is unknown.
+	// Number increases with each forecast of a group; 0 if unknown.
 	Number uint64
 }
 
-// newer tells whether a forecast of a group replaces another one of it. All sidecars of
-// the group pass on what its keeper foretold; some have yet to hear the newest.
+// newer reports whether f replaces another forecast of the same group. All
+// sidecars of a group relay its keeper's forecast, some of them an outdated one.
 func (f Forecast) newer(other Forecast) bool {
 	if f.Number != other.Number {
 		return f.Number > other.Number
@@ -21,9 +22,9 @@
 	return f.Skew > other.Skew
 }
 
-// factor is by how much longer than stated an engine's work takes at a skew: the
-// part that experts do takes as long as the most loaded rank.
-func factor(e *catalog.Engine, skew float64) float64 {
+// skewFactor returns the ratio of actual to nominal work time at a skew. The
+// expert part of the work takes as long as it does on the most loaded rank.
+func skewFactor(e *catalog.Engine, skew float64) float64 {
 	if e.Experts == nil || skew <= 1 {
 		return 1
 	}
--- a/internal/core/fleet/group.go
+++ b/internal/core/fleet/group.go
@@ -8,59 +8,58 @@
 	graniteknot "graniteknot.org/go"
 )
 
-// group is the engines of a service whose passes are made together: a lock-step group,
-// or all engines that are in none. Each has room of its own: one that forms, loads
-// experts or runs under an uneven map keeps nothing from the others. The table's lock
-// guards it.
+// group holds the engines of a service that make their passes together: a
+// lock-step group, or all engines outside of any group. Capacity is computed per
+// group, so that one that is starting, loading experts or running with an uneven
+// map doesn't restrict the others. Guarded by the table's lock.
 type group struct {
 	name    string
 	targets []*target
-	// prompts bounds those that are sent.
-	prompts bucket
-	// factor is by how much longer than stated work took over the last seconds, noted
-	// at.
-	factor float64
-	noted  time.Time
-	// closed is since when the group tells that it does not run, zero where it runs or
-	// tells nothing; opened is when it was first seen to take requests after that, zero for
-	// never.
-	closed, opened time.Time
+	// prefill limits the prompt tokens sent to the group.
+	prefill tokenBucket
+	// workFactor is the ratio of actual to nominal work time, averaged over the
+	// last seconds; workFactorAt is when it was last updated.
+	workFactor   float64
+	workFactorAt time.Time
+	// downSince is when the group began to report that it isn't running, zero
+	// while it runs or reports nothing. upSince is when it was first seen to accept
+	// requests after that, zero if never.
+	downSince, upSince time.Time
 }
 
-// bucket holds how many prompt tokens may still be sent at a time; a prompt may take it
-// below zero.
-type bucket struct {
-	left float64
-	at   time.Time
+// tokenBucket holds the prompt tokens that may still be sent. A single prompt may
+// overdraw it.
+type tokenBucket struct {
+	tokens   float64
+	refilled time.Time
 }
 
-// open tells whether a prompt may be sent where so many tokens a second may, and no
-// more at once than fit into one pass.
-func (b *bucket) open(perSecond float64, pass time.Duration, now time.Time) bool {
-	if b.at.IsZero() {
-		b.at, b.left = now, perSecond*pass.Seconds()
+// allow refills the bucket at perSecond, up to the tokens of one pass, and reports
+// whether a prompt may be sent.
+func (b *tokenBucket) allow(perSecond float64, pass time.Duration, now time.Time) bool {
+	if b.refilled.IsZero() {
+		b.refilled, b.tokens = now, perSecond*pass.Seconds()
 	}
-	b.left = min(b.left+perSecond*now.Sub(b.at).Seconds(), perSecond*pass.Seconds())
-	b.at = now
-	return b.left > 0
+	b.tokens = min(b.tokens+perSecond*now.Sub(b.refilled).Seconds(), perSecond*pass.Seconds())
+	b.refilled = now
+	return b.tokens > 0
 }
 
-// slowly takes in by how much longer than stated work takes now, and returns the
-// mean of the last seconds: a shift of what is asked for is over before most of
-// those who wait are served.
-func (g *group) slowly(factor float64, now time.Time) float64 {
-	if g.factor == 0 {
-		g.factor = factor
+// smoothWorkFactor updates and returns the exponentially weighted mean of the work
+// factor: a shift in demand is over before most queued requests are served.
+func (g *group) smoothWorkFactor(factor float64, now time.Time) float64 {
+	if g.workFactor == 0 {
+		g.workFactor = factor
 	} else {
-		weight := 1 - math.Exp(-now.Sub(g.noted).Seconds()/factorSpan.Seconds())
-		g.factor += weight * (factor - g.factor)
+		weight := 1 - math.Exp(-now.Sub(g.workFactorAt).Seconds()/workFactorWindow.Seconds())
+		g.workFactor += weight * (factor - g.workFactor)
 	}
-	g.noted = now
-	return g.factor
+	g.workFactorAt = now
+	return g.workFactor
 }
 
-// join puts a target into its group; called with the lock held.
-func (t *Table) join(x *target) {
+// joinGroup adds a target to its group. The caller holds the lock.
+func (t *Table) joinGroup(x *target) {
 	if t.groups == nil {
 		t.groups = map[graniteknot.Service][]*group{}
 	}
@@ -74,8 +73,8 @@
 	x.group.targets = append(x.group.targets, x)
 }
 
-// quit takes a target out of its group; called with the lock held.
-func (t *Table) quit(x *target) {
+// leaveGroup removes a target from its group. The caller holds the lock.
+func (t *Table) leaveGroup(x *target) {
 	x.group.targets = without(x.group.targets, x)
 	if len(x.group.targets) > 0 {
 		return
@@ -87,99 +86,102 @@
 	}
 }
 
-// standing is what is known of a group when a choice is made.
-type standing struct {
+// groupState is a group's state at the time of a choice.
+type groupState struct {
 	*group
 
-	load groupLoad
-	room room
-	// own and all are the requests at usable engines, this process's and all; usable is
-	// how many engines there are, slow ones counting less.
-	own, all int
-	usable   float64
+	load  groupLoad
+	model passModel
+	// ownRequests and allRequests count the requests at usable engines, those of
+	// this process and those of all. Slow engines count less in usableEngines.
+	ownRequests, allRequests int
+	usableEngines            float64
 }
 
-// standings returns how a service's groups stand; called with the lock held.
-func (t *Table) standings(q *Query) []standing {
+// groupStates returns the state of each group of a service. The caller holds the
+// lock.
+func (t *Table) groupStates(q *Query) []groupState {
 	list := t.groups[q.Service.Name]
-	out := make([]standing, len(list))
+	out := make([]groupState, len(list))
 	for i, g := range list {
-		out[i] = g.stand(q)
+		out[i] = g.state(q)
 	}
 	return out
 }
 
-func (g *group) stand(q *Query) standing {
-	s := standing{group: g, load: loadOf(g.targets, q.Now)}
+func (g *group) state(q *Query) groupState {
+	s := groupState{group: g, load: groupLoadOf(g.targets, q.Now)}
 	if q.Service.Engine == nil {
 		return s
 	}
-	s.room = roomOf(q.Service.Engine, q.MaxGap, &s.load)
+	s.model = passModelOf(q.Service.Engine, q.MaxGap, &s.load)
 	for _, x := range g.targets {
-		if !s.takes(x, q.Now) {
+		if !s.accepts(x, q.Now) {
 			continue
 		}
-		s.usable += 1 / x.slower(s.load, q.Now)
-		s.own += len(x.own)
-		s.all += len(x.own) + x.others(q.Now)
+		s.usableEngines += 1 / x.relativePace(s.load, q.Now)
+		s.ownRequests += len(x.own)
+		s.allRequests += len(x.own) + x.otherRequests(q.Now)
 	}
-	g.note(s.usable > 0, s.load.closed > 0, q.Now)
+	g.noteRunning(s.usableEngines > 0, s.load.down > 0, q.Now)
 	return s
 }
 
-// note takes in whether the group takes requests, and whether ranks tell that it does not
-// run. A process that has just begun and finds it running has not seen it open.
-func (g *group) note(takes, tells bool, now time.Time) {
+// noteRunning records whether the group accepts requests and whether ranks report
+// it as down. A process that has just started and finds it running hasn't seen it
+// come up.
+func (g *group) noteRunning(accepting, down bool, now time.Time) {
 	switch {
-	case !takes && tells && g.closed.IsZero():
-		g.closed = now
-	case takes && !g.closed.IsZero():
-		g.closed, g.opened = time.Time{}, now
+	case !accepting && down && g.downSince.IsZero():
+		g.downSince = now
+	case accepting && !g.downSince.IsZero():
+		g.downSince, g.upSince = time.Time{}, now
 	}
 }
 
-// takes tells whether an engine of the group may get requests.
-func (s *standing) takes(x *target, now time.Time) bool {
-	return x.takes(now) && !s.room.cripples(x.slower(s.load, now), s.load.running)
+// accepts reports whether an engine of the group may get requests.
+func (s *groupState) accepts(x *target, now time.Time) bool {
+	return x.accepts(now) && !s.model.stragglerTooSlow(x.relativePace(s.load, now), s.load.running)
 }
 
-// total is how many requests the group may have.
-func (s *standing) total() float64 { return s.room.writers() * s.usable }
+// capacity returns how many requests the group may have at once.
+func (s *groupState) capacity() float64 { return s.model.maxRequests() * s.usableEngines }
 
-// roomy returns the engines that may get one more request, if the group may. One that names a
-// limit counts for the group's room all the same: work for tokens is spread over all ranks.
-func (s *standing) roomy(q *Query, peers int, waiting bool) []*target {
-	if s.usable == 0 || !s.admits(q, peers, waiting) {
+// availableEngines returns the engines that may get one more request; none if the
+// group as a whole is full. Rate-limited engines still count towards the group's
+// capacity, since decoding work is spread over all ranks.
+func (s *groupState) availableEngines(q *Query, gateways int, waiting bool) []*target {
+	if s.usableEngines == 0 || !s.admits(q, gateways, waiting) {
 		return nil
 	}
 	slots := float64(q.Service.Engine.Slots)
-	var may []*target
+	var available []*target
 	for _, x := range s.targets {
-		busy := float64(len(x.own) + x.others(q.Now))
-		if s.takes(x, q.Now) && x.permitted(q.Now) && busy < slots/x.slower(s.load, q.Now) && !slices.Contains(q.Tried, x.replica.Life()) {
-			may = append(may, x)
+		busy := float64(len(x.own) + x.otherRequests(q.Now))
+		if s.accepts(x, q.Now) && x.hasPermit(q.Now) && busy < slots/x.relativePace(s.load, q.Now) && !slices.Contains(q.Tried, x.replica.Life()) {
+			available = append(available, x)
 		}
 	}
-	return may
+	return available
 }
 
-// admits tells whether the group as a whole may get one more request: work for
-// tokens is spread over all ranks, so where it is sent matters less than how much
-// there is. Reports are late, and every gateway sees the same places fall free: where
-// requests wait, or nothing is known yet, each keeps to its own part, so that a group
-// that has just come back does not get from each of them what it bears in all.
-func (s *standing) admits(q *Query, peers int, waiting bool) bool {
-	r, all, total := &s.room, float64(s.all), s.total()
-	if all+1 > total || q.late && all >= (1-reserved)*total {
+// admits reports whether the group as a whole may get one more request: decoding
+// work is spread over all ranks, so the total matters more than the rank it is sent
+// to. Reports lag, and every gateway sees the same free slots. Each gateway
+// therefore keeps to its own share while requests are queued or nothing is known
+// yet: a group that has just come up must not get its full capacity from each.
+func (s *groupState) admits(q *Query, gateways int, waiting bool) bool {
+	m, all, total := &s.model, float64(s.allRequests), s.capacity()
+	if all+1 > total || q.late && all >= (1-reservedShare)*total {
 		return false
 	}
-	opening := !s.opened.IsZero() && q.Now.Sub(s.opened) < openingFor
-	parts := r.assumed || waiting && all > crowded*total || !opening && all > nearlyFull*total
-	if parts && float64(s.own) >= math.Ceil(total/float64(peers)) {
+	recovering := !s.upSince.IsZero() && q.Now.Sub(s.upSince) < recoveryPeriod
+	shareOnly := m.assumed || waiting && all > crowdedShare*total || !recovering && all > nearlyFullShare*total
+	if shareOnly && float64(s.ownRequests) >= math.Ceil(total/float64(gateways)) {
 		return false
 	}
-	if q.Service.Engine.ReadRate <= 0 || r.hopeless() {
+	if q.Service.Engine.ReadRate <= 0 || m.gapUnattainable() {
 		return true
 	}
-	return s.prompts.open(r.reading(all/s.usable, s.usable)/float64(peers), r.longest, q.Now)
+	return s.prefill.allow(m.prefillRate(all/s.usableEngines, s.usableEngines)/float64(gateways), m.maxPass, q.Now)
 }
--- a/internal/core/fleet/inherit.go
+++ b/internal/core/fleet/inherit.go
@@ -2,42 +2,44 @@
 
 import "time"
 
-// inheritFor is for how long what a former life's requests heard may be the next one's word.
-const inheritFor = 10 * time.Second
+// inheritWindow is how long feedback on an ended life is applied to the next one.
+const inheritWindow = 10 * time.Second
 
-// inherit gives a life what was heard since the last heartbeat of the one before it under its id.
-// Which life answers shows in no answer, so it may have been the next one, whose record is read
-// later. Rest and limits end by themselves or with an answer; a word on leaving would not, and
-// stays the former life's. Called with the lock held.
-func (t *Table) inherit(to *target, now time.Time) {
-	for life, w := range t.words {
-		if life.ID == to.replica.ID && life.Born != to.replica.Born && w.gone {
-			t.handOver(w, to, now)
+// inheritFeedback applies to a new life the feedback heard since the last heartbeat
+// of the previous life with the same ID. A response doesn't tell which life sent it,
+// so it may have come from the new one before its record was read. Backoffs and
+// limits expire or are cleared by a response; a leaving mark would not, so it stays
+// with the old life. The caller holds the lock.
+func (t *Table) inheritFeedback(to *target, now time.Time) {
+	for life, state := range t.lives {
+		if life.ID == to.replica.ID && life.Born != to.replica.Born && state.ended {
+			t.copyFeedback(state, to, now)
 		}
 	}
 }
 
-// handOver gives a life what another one said that is gone; called with the lock held.
-func (t *Table) handOver(w *word, to *target, now time.Time) {
-	since := w.beaten
-	if earliest := now.Add(-inheritFor); earliest.After(since) {
+// copyFeedback applies the feedback on an ended life to another life. The caller
+// holds the lock.
+func (t *Table) copyFeedback(from *lifeState, to *target, now time.Time) {
+	since := from.lastHeartbeat
+	if earliest := now.Add(-inheritWindow); earliest.After(since) {
 		since = earliest
 	}
-	rests := w.rest.After(now) && w.restHeard.After(since)
-	named := w.limit.named && w.limit.as.After(since)
-	shed := w.limit.shed.asked && w.limit.shed.as.After(since)
-	if !rests && !named && !shed {
+	backoff := from.backoffUntil.After(now) && from.backoffHeard.After(since)
+	limit := from.limit.announced && from.limit.asOf.After(since)
+	shedding := from.limit.shedding.active && from.limit.shedding.asOf.After(since)
+	if !backoff && !limit && !shedding {
 		return
 	}
-	next := t.wordOf(to, now)
-	if rests && w.rest.After(next.rest) {
-		next.rest, next.restHeard, next.unproved = w.rest, w.restHeard, true
+	next := t.lifeOf(to, now)
+	if backoff && from.backoffUntil.After(next.backoffUntil) {
+		next.backoffUntil, next.backoffHeard, next.unconfirmed = from.backoffUntil, from.backoffHeard, true
 	}
-	if named && w.limit.as.After(next.limit.as) {
-		next.limit.named, next.limit.rate, next.limit.as = true, w.limit.rate, w.limit.as
+	if limit && from.limit.asOf.After(next.limit.asOf) {
+		next.limit.announced, next.limit.rate, next.limit.asOf = true, from.limit.rate, from.limit.asOf
 	}
-	if shed && w.limit.shed.as.After(next.limit.shed.as) {
-		next.limit.shed = w.limit.shed
+	if shedding && from.limit.shedding.asOf.After(next.limit.shedding.asOf) {
+		next.limit.shedding = from.limit.shedding
 	}
-	next.limit.settle()
+	next.limit.updatePermits()
 }
--- a/internal/core/fleet/lease.go
+++ b/internal/core/fleet/lease.go
@@ -6,16 +6,15 @@
 	"graniteknot.org/go/catalog"
 )
 
-// Verdict is what a request's end says of its replica.
+// Verdict is what the end of a request tells about its replica.
 type Verdict uint8
 
-// The verdicts.
 const (
-	// VerdictNone says nothing, such as a caller that left.
+	// VerdictNone tells nothing, for example when the caller disconnected.
 	VerdictNone Verdict = iota
-	// VerdictGood is an answer.
+	// VerdictGood is a response.
 	VerdictGood
-	// VerdictFull is a refusal for want of room.
+	// VerdictFull is a refusal for lack of capacity.
 	VerdictFull
 	// VerdictBad is a failure.
 	VerdictBad
@@ -23,123 +22,126 @@
 	VerdictGone
 )
 
-// Inputs are what a replica was chosen on.
+// Inputs are the values that the choice of a replica was based on.
 type Inputs struct {
-	// Own and Others are the requests at the replica, this process's and others'.
+	// Own and Others count the requests at the replica, those of this process and
+	// those of others.
 	Own, Others int
-	// Capacity is how many it may have; 0 is no bound.
+	// Capacity is how many requests it may have; 0 if unbounded.
 	Capacity int
-	// Pass is how long its group's passes take; 0 is unknown.
+	// Pass is the duration of its group's passes; 0 if unknown.
 	Pass time.Duration
-	// Skew is that of the replica's group; 0 is unknown.
+	// Skew is the skew of the replica's group; 0 if unknown.
 	Skew float64
-	// ReportAge is how old its report is; 0 without one.
+	// ReportAge is the age of its report; 0 without one.
 	ReportAge time.Duration
-	// Waited is how long the request waited for room.
+	// Waited is how long the request was queued.
 	Waited time.Duration
-	// Probe tells that the replica had failed before.
+	// Probe reports whether the request probes a replica that failed before.
 	Probe bool
-	// Permit tells that the replica takes only so many requests, and this one had a permit.
+	// Permit reports whether the replica is rate-limited and the request holds a
+	// permit.
 	Permit bool
 }
 
-// Lease is one request's place at a replica.
+// Lease is a request's slot at a replica.
 type Lease struct {
-	// Replica is the record as it was when the place was taken.
+	// Replica is the record at the time of the choice.
 	Replica catalog.Replica
 
-	// Inputs are what the choice was made on.
+	// Inputs are the values that the choice was based on.
 	Inputs Inputs
 
-	table  *Table
-	target *target
-	size   catalog.Size
-	sent   time.Time
-	begun  bool
-	// engine and gap are what the query named; nil for a plain service.
+	table   *Table
+	target  *target
+	size    catalog.Size
+	sent    time.Time
+	started bool
+	// engine and maxGap come from the query; engine is nil for a plain service.
 	engine *catalog.Engine
-	gap    time.Duration
-	trial  bool
+	maxGap time.Duration
+	probe  bool
 	ended  bool
-	// permit is when the replica's permit was taken; zero without a limit.
-	permit time.Time
-	// risked requests find out whether a silent replica works.
-	risked bool
-	// move breaks the attempt off, so that it is made elsewhere; nil where that
-	// may not be.
-	move func()
+	// permitAt is when the permit was taken; zero without a limit.
+	permitAt time.Time
+	// silenceProbe marks a request that probes a silent replica.
+	silenceProbe bool
+	// reroute aborts the attempt so that it is made elsewhere; nil if that isn't
+	// allowed.
+	reroute func()
 }
 
-// OnReroute gives what breaks the attempt off when the replica falls silent.
-func (l *Lease) OnReroute(move func()) {
+// OnReroute sets the function that aborts the attempt when the replica falls
+// silent.
+func (l *Lease) OnReroute(reroute func()) {
 	l.table.mu.Lock()
 	defer l.table.mu.Unlock()
-	l.move = move
+	l.reroute = reroute
 }
 
-// Reroute breaks the attempt off.
+// Reroute aborts the attempt so that it is made elsewhere.
 func (l *Lease) Reroute() {
 	l.table.mu.Lock()
-	move := l.move
-	l.move = nil
+	reroute := l.reroute
+	l.reroute = nil
 	l.table.mu.Unlock()
-	if move != nil {
-		move()
+	if reroute != nil {
+		reroute()
 	}
 }
 
-// RecordResponse notes a part of the answer.
+// RecordResponse records that a part of the response arrived.
 func (l *Lease) RecordResponse(now time.Time) {
 	l.table.mu.Lock()
 	defer l.table.mu.Unlock()
-	l.target.heard = now
-	if l.target.word != nil {
-		l.target.word.unproved = false
+	l.target.lastResponse = now
+	if l.target.life != nil {
+		l.target.life.unconfirmed = false
 	}
-	if l.begun {
+	if l.started {
 		return
 	}
-	l.begun = true
+	l.started = true
 	took := now.Sub(l.sent)
-	l.table.intake(l.Replica.Service).first.note(took)
+	l.table.statsOf(l.Replica.Service).firstEvent.observe(took)
 	if l.target.latency == 0 {
 		l.target.latency = took
 		return
 	}
-	l.target.latency += time.Duration(smoothing * float64(took-l.target.latency))
+	l.target.latency += time.Duration(latencyWeight * float64(took-l.target.latency))
 }
 
-// ResponseStarted tells whether a part of the answer was noted.
+// ResponseStarted reports whether a part of the response has arrived.
 func (l *Lease) ResponseStarted() bool {
 	l.table.mu.Lock()
 	defer l.table.mu.Unlock()
-	return l.begun
+	return l.started
 }
 
-// End gives the place back; later calls do nothing.
+// End releases the slot; later calls do nothing.
 func (l *Lease) End(v Verdict, now time.Time) {
 	l.table.mu.Lock()
 	defer l.table.mu.Unlock()
 	if l.ended {
 		return
 	}
-	l.ended, l.move = true, nil
-	defer l.table.serve(l.Replica.Service, now)
+	l.ended, l.reroute = true, nil
+	defer l.table.serveQueue(l.Replica.Service, now)
 	t := l.target
 	delete(t.own, l)
-	if l.trial {
-		t.trial = false
+	if l.probe {
+		t.probing = false
 	}
 	switch v {
 	case VerdictGood:
 		t.failures = 0
 	case VerdictBad:
 		t.failures++
-		pause := min(firstPause<<min(t.failures-1, 6), longestPause)
-		t.until = now.Add(pause)
+		ejection := min(baseEjection<<min(t.failures-1, 6), maxEjection)
+		t.ejectedUntil = now.Add(ejection)
 	case VerdictGone:
-		t.failures = max(t.failures, patience)
-		t.until = now.Add(longestPause)
+		t.failures = max(t.failures, ejectAfter)
+		t.ejectedUntil = now.Add(maxEjection)
 	case VerdictNone, VerdictFull:
 	}
 }
--- a/internal/core/fleet/life.go
+++ b/internal/core/fleet/life.go
@@ -7,61 +7,63 @@
 	"graniteknot.org/go/catalog"
 )
 
-// doubtedFor is for how long the record of a life that a sidecar told of is looked for
-// more often than usual: replicas register within a second of their start.
-const doubtedFor = 3 * time.Second
+// staleRecordsWindow is how long records are read more often after a sidecar
+// reported a life without a record: replicas register within a second of starting.
+const staleRecordsWindow = 3 * time.Second
 
-// life is the replica that a sidecar told to be at its address.
-type life struct {
+// reportedLife is the life that a sidecar reported at its address.
+type reportedLife struct {
 	mark catalog.Mark
-	// since is when it was first told.
+	// since is when it was first reported.
 	since time.Time
 }
 
-// met takes in which life is at an address; called with the lock held.
-func (t *Table) met(a graniteknot.Address, mark catalog.Mark, now time.Time) {
-	known := t.lives[a]
+// noteReportedLife records which life a sidecar reported at an address. The caller
+// holds the lock.
+func (t *Table) noteReportedLife(a graniteknot.Address, mark catalog.Mark, now time.Time) {
+	known := t.reportedLives[a]
 	if mark == 0 || mark == known.mark || now.Before(known.since) {
 		return
 	}
-	if t.lives == nil {
-		t.lives = map[graniteknot.Address]life{}
+	if t.reportedLives == nil {
+		t.reportedLives = map[graniteknot.Address]reportedLife{}
 	}
-	t.lives[a] = life{mark: mark, since: now}
-	t.outlive(a)
+	t.reportedLives[a] = reportedLife{mark: mark, since: now}
+	t.markSuperseded(a)
 }
 
-// outlive finds out which records at an address are of lives that have ended: those that
-// no heartbeat has come to since the sidecar there told of another life. After a loss of
-// power replicas come back at the same addresses while the records of the
-// former ones stand for three heartbeats more, and would get requests, were the new
-// replica's report taken for the old one's. A sidecar that did not notice its replica's end
-// keeps the next one back for a heartbeat. Called with the lock held.
-func (t *Table) outlive(a graniteknot.Address) {
-	known, told := t.lives[a]
+// markSuperseded marks the records at an address whose lives have ended: those
+// without a heartbeat since the sidecar there reported another life. After a power
+// loss, replicas come back at the same addresses while the old records stay for
+// three more heartbeats; the old ones would get requests if the new replica's report
+// were taken for theirs. A sidecar that missed its replica's end delays the next life
+// by one heartbeat. The caller holds the lock.
+func (t *Table) markSuperseded(a graniteknot.Address) {
+	known, reported := t.reportedLives[a]
 	for _, x := range t.addresses[a] {
-		x.outlived = told && x.replica.Life().Mark() != known.mark && !x.beat.After(known.since)
+		x.superseded = reported && x.replica.Life().Mark() != known.mark && !x.lastHeartbeat.After(known.since)
 	}
 }
 
-// RecordsStale tells whether a sidecar told of a life of late whose record is not known while
-// that of a former one at its address is: then the records are to be read soon.
+// RecordsStale reports whether a sidecar recently reported a life whose record isn't
+// known, at an address where an older life's record is: the records should be read
+// soon.
 func (t *Table) RecordsStale(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for a, known := range t.lives {
-		if now.Sub(known.since) < doubtedFor && t.unread(a) {
+	for a, known := range t.reportedLives {
+		if now.Sub(known.since) < staleRecordsWindow && t.allSuperseded(a) {
 			return true
 		}
 	}
 	return false
 }
 
-// unread tells whether all records at an address are of lives that have ended, of which
-// there are some; called with the lock held.
-func (t *Table) unread(a graniteknot.Address) bool {
+// allSuperseded reports whether an address has records and all are of lives that have
+// ended. The caller holds the lock.
+func (t *Table) allSuperseded(a graniteknot.Address) bool {
 	for _, x := range t.addresses[a] {
-		if !x.outlived {
+		if !x.superseded {
 			return false
 		}
 	}
--- a/internal/core/fleet/limit.go
+++ b/internal/core/fleet/limit.go
@@ -7,216 +7,220 @@
 	"graniteknot.org/go/internal/core/quota"
 )
 
-// A replica's limit is about what all gateways send it together, so none may go by what it
-// sends itself: each sends a limited replica only what its limit's home granted a permit for.
-
-// limit is what a life said, to this process or to one that told it, of what it takes.
-type limit struct {
-	// named tells that it names a limit, which rate is, and as when the last answer that told
-	// of it came; zero for never.
-	named bool
-	rate  quota.Rate
-	as    time.Time
-	// shed is who was turned away and asked for rest.
-	shed shed
-	// part is this process's part of what it takes.
-	part quota.Part
+// A replica's limit applies to the requests of all gateways together, so none can enforce it by
+// counting its own: each sends a limited replica only the requests it was granted permits for.
+
+// limitState is the limit of a life, from feedback to this process or from notices of
+// others.
+type limitState struct {
+	// announced reports whether it announces a limit, which is rate; asOf is the
+	// time of the last response that told, zero if none did.
+	announced bool
+	rate      quota.Rate
+	asOf      time.Time
+	// shedding tells which gateways it refused and asked to back off.
+	shedding sheddingState
+	// permits is this process's share of the limit.
+	permits quota.Part
 }
 
-// shed is what is known of the gateways that a life asked for rest. Whether it asks all or only
-// one shows by the second one.
-type shed struct {
-	// first is who was asked first since it last answered anybody, as of as; all tells that
-	// another one was since.
-	first quota.Box
-	asked bool
-	all   bool
-	as    time.Time
+// sheddingState tracks the gateways that a life asked to back off. A request from a
+// second gateway shows that it refuses all, not just one.
+type sheddingState struct {
+	// firstGateway is the first gateway it refused since it last answered any, as
+	// of asOf; multiple reports whether it has refused another one since.
+	firstGateway quota.Box
+	active       bool
+	multiple     bool
+	asOf         time.Time
 }
 
-// settle has the part follow what is known: a replica that turned two gateways away, and nobody
-// was answered since, takes nothing, and one request of all finds out now and then.
-func (l *limit) settle() {
+// updatePermits brings the permits in line with the state. A replica that refused two
+// gateways and answered none since gets a rate of zero; then an occasional request
+// from one of all gateways probes it.
+func (l *limitState) updatePermits() {
 	switch {
-	case l.shed.all:
-		l.part.Limit(0)
-	case l.named:
-		l.part.Limit(l.rate)
-	case l.part.Limited():
-		l.part.Lift()
+	case l.shedding.multiple:
+		l.permits.Limit(0)
+	case l.announced:
+		l.permits.Limit(l.rate)
+	case l.permits.Limited():
+		l.permits.Lift()
 	}
 }
 
-// says takes in what an answer to a request that was sent at a time says of what its life takes,
-// and tells the others; it returns whether that is new. An answer ends only what was said before
-// its request was sent: answers pass one another. Called with the lock held.
-func (t *Table) says(x *target, w Feedback, sent, now time.Time) bool {
+// applyFeedback applies a response's feedback and queues notices for the other
+// processes. It returns whether anything changed. A response clears only what was
+// announced before its request was sent, since responses may overtake one another.
+// The caller holds the lock.
+func (t *Table) applyFeedback(x *target, f Feedback, sent, now time.Time) bool {
 	changed := false
-	for _, told := range w.told(x, sent, t.outbox.self) {
-		known := t.wordOf(x, now)
-		if known.take(&told, now) {
+	for _, notice := range f.notices(x, sent, t.outbox.self) {
+		state := t.lifeOf(x, now)
+		if state.apply(&notice, now) {
 			changed = true
-			t.tell(told)
+			t.queueNotice(notice)
 		}
 	}
 	return changed
 }
 
-// told is what a word says of its life that may be new.
-func (w Feedback) told(x *target, sent time.Time, self quota.Box) []quota.Told {
-	if w == (Feedback{Answered: true, Unlimited: true}) && (x.word == nil || !x.word.limit.holds()) {
+// notices returns the notices for the parts of the feedback that may be new.
+func (f Feedback) notices(x *target, sent time.Time, self quota.Box) []quota.Told {
+	if f == (Feedback{Answered: true, Unlimited: true}) && (x.life == nil || !x.life.limit.binding()) {
 		return nil
 	}
 	key := quota.KeyOf(x.replica.Life())
 	var out []quota.Told
 	switch {
-	case w.Limit.Named:
-		out = append(out, quota.Told{Key: key, Holds: true, Rate: w.Limit.Rate})
-	case w.Unlimited && x.word != nil && sent.After(x.word.limit.as):
+	case f.Limit.Named:
+		out = append(out, quota.Told{Key: key, Holds: true, Rate: f.Limit.Rate})
+	case f.Unlimited && x.life != nil && sent.After(x.life.limit.asOf):
 		out = append(out, quota.Told{Key: key})
 	}
 	switch {
-	case w.Backoff > 0:
+	case f.Backoff > 0:
 		out = append(out, quota.Told{Key: key, Subject: quota.SubjectRest, Holds: true, By: self})
-	case w.Answered && x.word != nil && sent.After(x.word.limit.shed.as):
+	case f.Answered && x.life != nil && sent.After(x.life.limit.shedding.asOf):
 		out = append(out, quota.Told{Key: key, Subject: quota.SubjectRest})
 	}
-	if w.Leaving {
+	if f.Leaving {
 		out = append(out, quota.Told{Key: key, Subject: quota.SubjectLeaving, Holds: true})
 	}
 	return out
 }
 
-// holds tells whether anything is known that binds.
-func (l *limit) holds() bool { return l.named || l.shed.asked }
+// binding reports whether a limit or backoff is known.
+func (l *limitState) binding() bool { return l.announced || l.shedding.active }
 
-// take takes in what was told, unless something later is known. It returns whether that is new.
-func (w *word) take(told *quota.Told, now time.Time) bool {
-	as := now.Add(-time.Duration(told.Age) * time.Millisecond)
-	w.said = now
-	switch told.Subject {
+// apply applies a notice unless something newer is known. It returns whether anything
+// changed.
+func (s *lifeState) apply(notice *quota.Told, now time.Time) bool {
+	asOf := now.Add(-time.Duration(notice.Age) * time.Millisecond)
+	s.updated = now
+	switch notice.Subject {
 	case quota.SubjectLimit:
-		return w.limit.takeLimit(told, as)
+		return s.limit.applyLimit(notice, asOf)
 	case quota.SubjectRest:
-		return w.limit.takeRest(told, as)
+		return s.limit.applyBackoff(notice, asOf)
 	case quota.SubjectLeaving:
-		before := w.leaving
-		w.leaving = true
+		before := s.leaving
+		s.leaving = true
 		return !before
 	}
 	return false
 }
 
-func (l *limit) takeLimit(told *quota.Told, as time.Time) bool {
-	if !as.After(l.as) {
+func (l *limitState) applyLimit(notice *quota.Told, asOf time.Time) bool {
+	if !asOf.After(l.asOf) {
 		return false
 	}
-	changed := l.named != told.Holds || l.rate != told.Rate
-	l.as, l.named, l.rate = as, told.Holds, told.Rate
-	l.settle()
+	changed := l.announced != notice.Holds || l.rate != notice.Rate
+	l.asOf, l.announced, l.rate = asOf, notice.Holds, notice.Rate
+	l.updatePermits()
 	return changed
 }
 
-func (l *limit) takeRest(told *quota.Told, as time.Time) bool {
-	s := &l.shed
-	if as.Before(s.as) {
+func (l *limitState) applyBackoff(notice *quota.Told, asOf time.Time) bool {
+	s := &l.shedding
+	if asOf.Before(s.asOf) {
 		return false
 	}
 	before := *s
-	s.as = as
+	s.asOf = asOf
 	switch {
-	case !told.Holds:
-		s.asked, s.all = false, false
-	case !s.asked:
-		s.asked, s.first = true, told.By
-	case s.first != told.By:
-		s.all = true
-	}
-	l.settle()
-	return s.asked != before.asked || s.all != before.all
+	case !notice.Holds:
+		s.active, s.multiple = false, false
+	case !s.active:
+		s.active, s.firstGateway = true, notice.By
+	case s.firstGateway != notice.By:
+		s.multiple = true
+	}
+	l.updatePermits()
+	return s.active != before.active || s.multiple != before.multiple
 }
 
-// tellings are what is known of the life, as it is told to others.
-func (w *word) tellings(l catalog.Life, now time.Time) []quota.Told {
+// notices returns what is known of the life's limit as notices to others.
+func (s *lifeState) notices(l catalog.Life, now time.Time) []quota.Told {
 	key := quota.KeyOf(l)
 	var out []quota.Told
-	if !w.limit.as.IsZero() {
-		out = append(out, quota.Told{Key: key, Holds: w.limit.named, Rate: w.limit.rate, Age: milliseconds(now.Sub(w.limit.as))})
-	}
-	if s := &w.limit.shed; s.asked {
-		age := milliseconds(now.Sub(s.as))
-		out = append(out, quota.Told{Key: key, Subject: quota.SubjectRest, Holds: true, By: s.first, Age: age})
-		if s.all {
-			out = append(out, quota.Told{Key: key, Subject: quota.SubjectRest, Holds: true, By: ^s.first, Age: age})
+	if !s.limit.asOf.IsZero() {
+		out = append(out, quota.Told{Key: key, Holds: s.limit.announced, Rate: s.limit.rate, Age: ageMillis(now.Sub(s.limit.asOf))})
+	}
+	if shedding := &s.limit.shedding; shedding.active {
+		age := ageMillis(now.Sub(shedding.asOf))
+		out = append(out, quota.Told{Key: key, Subject: quota.SubjectRest, Holds: true, By: shedding.firstGateway, Age: age})
+		if shedding.multiple {
+			out = append(out, quota.Told{Key: key, Subject: quota.SubjectRest, Holds: true, By: ^shedding.firstGateway, Age: age})
 		}
 	}
 	return out
 }
 
-func milliseconds(d time.Duration) int64 { return max(0, d.Milliseconds()) }
+func ageMillis(d time.Duration) int64 { return max(0, d.Milliseconds()) }
 
-// ApplyNotice takes in what another process told of a life, unless something later is known. It
-// returns whether that is new.
-func (t *Table) ApplyNotice(w *quota.Told, now time.Time) bool {
+// ApplyNotice applies another process's notice about a life unless something newer is
+// known. It returns whether anything changed.
+func (t *Table) ApplyNotice(notice *quota.Told, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.told(w, now)
+	return t.applyNotice(notice, now)
 }
 
-func (t *Table) told(w *quota.Told, now time.Time) bool {
-	life := w.Key.Life()
-	known := t.words[life]
-	if known == nil && !w.Holds {
+func (t *Table) applyNotice(notice *quota.Told, now time.Time) bool {
+	life := notice.Key.Life()
+	state := t.lives[life]
+	if state == nil && !notice.Holds {
 		return false
 	}
-	if known == nil {
-		known = t.addWord(life, now)
+	if state == nil {
+		state = t.addLife(life, now)
 	}
-	if !known.take(w, now) {
+	if !state.apply(notice, now) {
 		return false
 	}
 	if x := t.targets[life.ID]; x != nil && x.replica.Life() == life {
-		t.serve(x.replica.Service, now)
+		t.serveQueue(x.replica.Service, now)
 	}
 	return true
 }
 
-// LimitOf returns how many requests a second a life takes, as far as it is known to be limited,
-// and what is known of it.
-func (t *Table) LimitOf(life catalog.Life, now time.Time) (rate quota.Rate, limited bool, told []quota.Told) {
+// LimitOf returns how many requests a second a life takes, whether it is known to be
+// limited, and what is known of it as notices.
+func (t *Table) LimitOf(life catalog.Life, now time.Time) (rate quota.Rate, limited bool, notices []quota.Told) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w := t.words[life]
-	if w == nil {
+	state := t.lives[life]
+	if state == nil {
 		return 0, false, nil
 	}
-	return w.limit.part.Rate(), w.limit.part.Limited(), w.tellings(life, now)
+	return state.limit.permits.Rate(), state.limit.permits.Limited(), state.notices(life, now)
 }
 
-// Limits returns all limits that are known, and what else is known of their lives.
+// Limits returns notices for all lives with a known limit or backoff.
 func (t *Table) Limits(now time.Time) []quota.Told {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []quota.Told
-	for life, w := range t.words {
-		if w.limit.holds() {
-			out = append(out, w.tellings(life, now)...)
+	for life, state := range t.lives {
+		if state.limit.binding() {
+			out = append(out, state.notices(life, now)...)
 		}
 	}
 	return out
 }
 
-// limited tells whether this process may send the replica only what it has permits for. One that
-// the replica asked itself for rest, which is over, finds out by a request of its own whether
-// it takes any again.
+// limited reports whether this process needs permits for the replica. A replica that
+// announced no limit but asked this process to back off is probed after that without
+// one.
 func (t *target) limited() bool {
-	if t.word == nil || !t.word.limit.part.Limited() {
+	if t.life == nil || !t.life.limit.permits.Limited() {
 		return false
 	}
-	return t.word.limit.named || !t.word.unproved
+	return t.life.limit.announced || !t.life.unconfirmed
 }
 
-// permitted tells whether the replica has no limit, or this process a permit.
-func (t *target) permitted(now time.Time) bool {
-	return !t.limited() || t.word.limit.part.Ready(now)
+// hasPermit reports whether the replica is unlimited or this process holds a permit.
+func (t *target) hasPermit(now time.Time) bool {
+	return !t.limited() || t.life.limit.permits.Ready(now)
 }
--- a/internal/core/fleet/outbox.go
+++ b/internal/core/fleet/outbox.go
@@ -8,116 +8,118 @@
 	"graniteknot.org/go/internal/core/quota"
 )
 
-// outbox holds what is to be told to others. The table's lock guards it.
+// outbox holds the notices and permit requests to send. Guarded by the table's lock.
 type outbox struct {
-	told []quota.Told
-	// asking are the lives of which permits are wanted.
-	asking map[catalog.Life]struct{}
-	// ready tells the one who sends that there is something; self is what this process is
-	// called. Both are set before use.
-	ready func()
-	self  quota.Box
+	notices []quota.Told
+	// wanted holds the lives to request permits for.
+	wanted map[catalog.Life]struct{}
+	// notify wakes the sender; self is this process's box in notices. Both are set
+	// before use.
+	notify func()
+	self   quota.Box
 }
 
-// NotifyOutbox sets what is called, without waiting and with the table's lock held, when
-// something is to be told or asked, and what the others call this process. Without it nothing
-// is, and the table is the home of all limits.
-func (t *Table) NotifyOutbox(self quota.Box, ready func()) {
+// NotifyOutbox sets this process's box in notices, and the function that is called when
+// there is something to send. The function runs with the table's lock held and must not
+// block. Without it nothing is queued, and the table grants its own permits.
+func (t *Table) NotifyOutbox(self quota.Box, notify func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.outbox.self, t.outbox.ready = self, ready
+	t.outbox.self, t.outbox.notify = self, notify
 }
 
-// tell has something told to all; called with the lock held.
-func (t *Table) tell(w quota.Told) {
-	if t.outbox.ready != nil {
-		t.outbox.told = append(t.outbox.told, w)
-		t.outbox.ready()
+// queueNotice queues a notice to all processes. The caller holds the lock.
+func (t *Table) queueNotice(notice quota.Told) {
+	if t.outbox.notify != nil {
+		t.outbox.notices = append(t.outbox.notices, notice)
+		t.outbox.notify()
 	}
 }
 
-// DrainOutbox returns what is to be told to all, and the permits to ask the limits' homes for. Each
-// ask also says how many before it had no answer.
-func (t *Table) DrainOutbox(now time.Time) (told []quota.Told, asks []PermitRequest) {
+// DrainOutbox returns the notices to send to all processes, and the permit requests to
+// send to the processes that grant them.
+func (t *Table) DrainOutbox(now time.Time) (notices []quota.Told, requests []PermitRequest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	told, t.outbox.told = t.outbox.told, nil
-	for life := range t.outbox.asking {
-		w := t.words[life]
-		if w == nil || !w.limit.part.Limited() {
-			delete(t.outbox.asking, life)
+	notices, t.outbox.notices = t.outbox.notices, nil
+	for life := range t.outbox.wanted {
+		state := t.lives[life]
+		if state == nil || !state.limit.permits.Limited() {
+			delete(t.outbox.wanted, life)
 			continue
 		}
-		want := w.limit.part.Due(now)
+		want := state.limit.permits.Due(now)
 		if want <= 0 {
 			continue
 		}
-		delete(t.outbox.asking, life)
-		ask := PermitRequest{Ask: quota.Ask{Key: quota.KeyOf(life), Told: w.tellings(life, now), Want: want}}
-		ask.Number, ask.Unanswered = w.limit.part.Asked(now)
-		asks = append(asks, ask)
+		delete(t.outbox.wanted, life)
+		request := PermitRequest{Ask: quota.Ask{Key: quota.KeyOf(life), Told: state.notices(life, now), Want: want}}
+		request.Number, request.Unanswered = state.limit.permits.Asked(now)
+		requests = append(requests, request)
 	}
-	return told, asks
+	return notices, requests
 }
 
-// PermitRequest is an ask, and how many before it were not answered.
+// PermitRequest is a permit request and how many before it went unanswered.
 type PermitRequest struct {
 	quota.Ask
 
 	Unanswered int
 }
 
-// ApplyGrant takes in a home's answer; false where it is not to the last ask, or came too late.
+// ApplyGrant applies a granting process's answer. It returns false if the answer isn't
+// to the last request or came too late.
 func (t *Table) ApplyGrant(g *quota.Grant, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := range g.Told {
-		t.told(&g.Told[i], now)
+		t.applyNotice(&g.Told[i], now)
 	}
 	life := g.Key.Life()
-	w := t.words[life]
-	if w == nil || !w.limit.part.Granted(g, now) {
+	state := t.lives[life]
+	if state == nil || !state.limit.permits.Granted(g, now) {
 		return false
 	}
 	if x := t.targets[life.ID]; x != nil && x.replica.Life() == life {
-		t.dismiss(x.replica.Service, now)
-		t.serve(x.replica.Service, now)
+		t.rejectHopeless(x.replica.Service, now)
+		t.serveQueue(x.replica.Service, now)
 	}
 	return true
 }
 
-// want notes that a request could have gone to any of a service's limited replicas; called with
-// the lock held.
-func (t *Table) want(s graniteknot.Service, now time.Time) {
+// wantPermits records that a request could have gone to any of a service's limited
+// replicas. The caller holds the lock.
+func (t *Table) wantPermits(s graniteknot.Service, now time.Time) {
 	due := false
 	for _, x := range t.services[s] {
-		if !x.limited() || x.barred(now) {
+		if !x.limited() || x.excluded(now) {
 			continue
 		}
-		x.word.limit.part.Want(now)
-		if x.word.limit.part.Due(now) > 0 {
-			t.ask(x.replica.Life(), now)
+		x.life.limit.permits.Want(now)
+		if x.life.limit.permits.Due(now) > 0 {
+			t.requestPermits(x.replica.Life(), now)
 			due = true
 		}
 	}
-	if due && t.outbox.ready != nil {
-		t.outbox.ready()
+	if due && t.outbox.notify != nil {
+		t.outbox.notify()
 	}
 }
 
-// ask has permits asked for. A table without others to ask is the home of all limits.
-func (t *Table) ask(life catalog.Life, now time.Time) {
-	if t.outbox.ready == nil {
-		part := &t.words[life].limit.part
-		want := part.Due(now)
-		number, _ := part.Asked(now)
-		grant := t.home.Deal(now, life, part.Rate(), "", want)
+// requestPermits queues a permit request. A table without an outbox grants its own
+// permits.
+func (t *Table) requestPermits(life catalog.Life, now time.Time) {
+	if t.outbox.notify == nil {
+		permits := &t.lives[life].limit.permits
+		want := permits.Due(now)
+		number, _ := permits.Asked(now)
+		grant := t.localGranter.Deal(now, life, permits.Rate(), "", want)
 		grant.Number = number
-		part.Granted(&grant, now)
+		permits.Granted(&grant, now)
 		return
 	}
-	if t.outbox.asking == nil {
-		t.outbox.asking = map[catalog.Life]struct{}{}
+	if t.outbox.wanted == nil {
+		t.outbox.wanted = map[catalog.Life]struct{}{}
 	}
-	t.outbox.asking[life] = struct{}{}
+	t.outbox.wanted[life] = struct{}{}
 }
--- a/internal/core/fleet/pick.go
+++ b/internal/core/fleet/pick.go
@@ -8,64 +8,64 @@
 	"graniteknot.org/go/catalog"
 )
 
-// Query is what a replica is chosen for.
+// Query describes the request that a replica is chosen for.
 type Query struct {
 	Service *catalog.Service
 	Size    catalog.Size
 	Urgency catalog.Urgency
-	// MaxGap is the longest useful pause between events; 0 is no bound.
+	// MaxGap is the longest useful pause between events; 0 is unbounded.
 	MaxGap time.Duration
-	// Tried are not chosen again while others are left.
+	// Tried replicas are excluded.
 	Tried []catalog.Life
-	// Zone is preferred among equals.
+	// Zone is preferred among otherwise equal replicas.
 	Zone graniteknot.AvailabilityZone
 	Now  time.Time
-	// RequestedAt is when the choice was first asked for.
+	// RequestedAt is when the choice was first requested.
 	RequestedAt time.Time
-	// late requests can't be in time any more.
+	// late marks a request that can no longer be in time.
 	late bool
 }
 
-// Pick chooses a replica and takes a place there; nil when there is none.
+// Pick chooses a replica and takes a slot there; it returns nil if there is none.
 func (t *Table) Pick(q *Query) *Lease {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.want(q.Service.Name, q.Now)
-	best := t.plain(q)
+	t.wantPermits(q.Service.Name, q.Now)
+	best := t.pickPlain(q)
 	if best == nil {
 		return nil
 	}
-	return t.lease(best, q)
+	return t.newLease(best, q)
 }
 
-// plain returns the best usable replica, or where none is the best that may be asked at all;
-// called with the lock held.
-func (t *Table) plain(q *Query) *target {
-	may := func(x *target) bool { return x.permitted(q.Now) && !slices.Contains(q.Tried, x.replica.Life()) }
-	if best := t.best(q, func(x *target) bool { return x.usable(q.Now) && may(x) }); best != nil {
+// pickPlain returns the best usable replica, or if there is none, the best of those
+// that aren't excluded. The caller holds the lock.
+func (t *Table) pickPlain(q *Query) *target {
+	eligible := func(x *target) bool { return x.hasPermit(q.Now) && !slices.Contains(q.Tried, x.replica.Life()) }
+	if best := t.bestWhere(q, func(x *target) bool { return x.usable(q.Now) && eligible(x) }); best != nil {
 		return best
 	}
-	return t.best(q, func(x *target) bool { return !x.barred(q.Now) && may(x) })
+	return t.bestWhere(q, func(x *target) bool { return !x.excluded(q.Now) && eligible(x) })
 }
 
-func (t *Table) best(q *Query, may func(*target) bool) *target {
-	var list []*target
+func (t *Table) bestWhere(q *Query, eligible func(*target) bool) *target {
+	var targets []*target
 	for _, x := range t.services[q.Service.Name] {
-		if may(x) {
-			list = append(list, x)
+		if eligible(x) {
+			targets = append(targets, x)
 		}
 	}
-	return cheapest(list, q, t.standings(q))
+	return leastCost(targets, q, t.groupStates(q))
 }
 
-// cheapest returns the target with the least cost; nil when there is none.
-func cheapest(list []*target, q *Query, standings []standing) *target {
+// leastCost returns the target with the lowest cost; nil if there is none.
+func leastCost(targets []*target, q *Query, states []groupState) *target {
 	var best *target
 	least := 0.0
-	for _, x := range list {
-		cost := x.cost(q, x.standing(standings)) + jitter()
+	for _, x := range targets {
+		cost := x.cost(q, x.groupStateIn(states)) + jitter()
 		if x.limited() {
-			cost -= lapsing
+			cost -= permitDiscount
 		}
 		if best == nil || cost < least {
 			best, least = x, cost
@@ -74,31 +74,31 @@
 	return best
 }
 
-// lapsing is what a replica costs less that this process has a permit for, which lapses soon:
-// between equal ones it is chosen.
-const lapsing = 0.01
+// permitDiscount is subtracted from the cost of a replica that this process holds a
+// permit for: permits expire soon, so the replica wins among equals.
+const permitDiscount = 0.01
 
-func (t *Table) lease(x *target, q *Query) *Lease {
-	l := &Lease{Replica: x.replica, Inputs: t.inputs(x, q), table: t, target: x, size: q.Size, sent: q.Now, engine: q.Service.Engine, gap: q.MaxGap}
-	if x.failures >= patience || x.word != nil && x.word.unproved {
-		l.trial, x.trial = true, true
+func (t *Table) newLease(x *target, q *Query) *Lease {
+	l := &Lease{Replica: x.replica, Inputs: t.inputsOf(x, q), table: t, target: x, size: q.Size, sent: q.Now, engine: q.Service.Engine, maxGap: q.MaxGap}
+	if x.failures >= ejectAfter || x.life != nil && x.life.unconfirmed {
+		l.probe, x.probing = true, true
 	}
-	if x.cutOff {
-		l.risked, x.risked = true, q.Now
+	if x.unreachable {
+		l.silenceProbe, x.probedAt = true, q.Now
 	}
-	if x.limited() && x.word.limit.part.Take(q.Now) {
-		l.permit, l.Inputs.Permit = q.Now, true
+	if x.limited() && x.life.limit.permits.Take(q.Now) {
+		l.permitAt, l.Inputs.Permit = q.Now, true
 	}
 	x.own[l] = struct{}{}
 	if q.Service.Engine != nil {
-		x.group.prompts.left -= float64(q.Size.Prompt)
+		x.group.prefill.tokens -= float64(q.Size.Prompt)
 	}
 	return l
 }
 
-// inputs tells what a choice was made on.
-func (t *Table) inputs(x *target, q *Query) Inputs {
-	in := Inputs{Own: len(x.own), Others: x.others(q.Now), Pass: x.load.Pass, Probe: x.failures >= patience}
+// inputsOf returns the inputs of a choice.
+func (t *Table) inputsOf(x *target, q *Query) Inputs {
+	in := Inputs{Own: len(x.own), Others: x.otherRequests(q.Now), Pass: x.load.Pass, Probe: x.failures >= ejectAfter}
 	if !x.load.Taken.IsZero() {
 		in.ReportAge = q.Now.Sub(x.load.Taken)
 	}
@@ -106,29 +106,29 @@
 		in.Waited = q.Now.Sub(q.RequestedAt)
 	}
 	if q.Service.Engine != nil {
-		s := x.group.stand(q)
-		in.Capacity, in.Skew = int(s.room.writers()), s.load.forecast.Skew
+		s := x.group.state(q)
+		in.Capacity, in.Skew = int(s.model.maxRequests()), s.load.forecast.Skew
 	}
 	return in
 }
 
-// standing returns how the target's group stands; nil where that is not told.
-func (t *target) standing(list []standing) *standing {
-	for i := range list {
-		if list[i].group == t.group {
-			return &list[i]
+// groupStateIn returns the state of the target's group; nil if the list has none.
+func (t *target) groupStateIn(states []groupState) *groupState {
+	for i := range states {
+		if states[i].group == t.group {
+			return &states[i]
 		}
 	}
 	return nil
 }
 
-// cost orders replicas for a request; the least is chosen. Between groups it evens out
-// how long passes are: the requests of one whose work takes twice as long count twice.
-func (t *target) cost(q *Query, s *standing) float64 {
-	busy := float64(len(t.own) + t.others(q.Now))
+// cost ranks replicas for a request; the lowest wins. Between groups it evens out
+// pass times: requests to a group whose work takes twice as long count twice.
+func (t *target) cost(q *Query, s *groupState) float64 {
+	busy := float64(len(t.own) + t.otherRequests(q.Now))
 	if q.Service.Engine != nil {
-		work := busy + 1 + float64(t.reading())/float64(max(1, q.Service.Engine.Chunk))
-		return work * t.slower(s.load, q.Now) * s.room.factor
+		work := busy + 1 + float64(t.prefillTokens())/float64(max(1, q.Service.Engine.Chunk))
+		return work * t.relativePace(s.load, q.Now) * s.model.workFactor
 	}
 	zone := 0.0
 	if t.replica.Zone != q.Zone {
--- a/internal/core/fleet/queue.go
+++ b/internal/core/fleet/queue.go
@@ -9,131 +9,133 @@
 	"graniteknot.org/go/catalog"
 )
 
-// crowded is the part of the room that has to be taken for gateways where requests
-// wait to keep to their own parts: each sees the same places, and takes some before
-// the others' reports tell.
-const crowded = 0.5
+// crowdedShare is the used share of capacity above which gateways keep to their own
+// shares while requests are queued: all see the same free slots, and each takes some
+// before the others' reports show it.
+const crowdedShare = 0.5
 
-// nearlyFull is the same for requests that have just come, of groups that have run for a
-// while: gateways that each see the same few places left fill engines beyond their slots.
-const nearlyFull = 0.75
+// nearlyFullShare is the same for requests that have just arrived, to groups that
+// aren't recovering: gateways that all see the same few free slots would fill
+// engines beyond their slots.
+const nearlyFullShare = 0.75
 
-// reserved is the part of the room that is kept from those who will be late, for
-// those to come who can be in time.
-const reserved = 0.1
+// reservedShare is the share of capacity that late requests can't use, so that
+// requests that arrive next can still be in time.
+const reservedShare = 0.1
 
-// WaitBounds bounds how long a request waits for room.
+// WaitBounds bounds how long a request is queued.
 type WaitBounds struct {
-	// FirstEventBy is by when the first event has to come for the answer to be fully
-	// useful. Those who can still be in time go before those who can't.
+	// FirstEventBy is when the first event must arrive for the response to be fully
+	// useful. Requests that can still meet it go before those that can't.
 	FirstEventBy time.Time
-	// GiveUpAt is when waiting is given up.
+	// GiveUpAt is when waiting ends.
 	GiveUpAt time.Time
 }
 
-// waiter is a request that waits for room at an engine.
+// waiter is a queued request.
 type waiter struct {
-	query *Query
-	wait  WaitBounds
-	// ready gets the lease, nil where waiting is in vain; it has room for one.
-	ready chan *Lease
+	query  *Query
+	bounds WaitBounds
+	// result receives the lease, or nil if waiting is pointless; its buffer holds one.
+	result chan *Lease
 }
 
-// Acquire chooses a replica as Pick does, but waits for room at an engine. It
-// returns nil when the wait is over, or no replica may be chosen.
-func (t *Table) Acquire(ctx context.Context, q *Query, w WaitBounds) *Lease {
-	if q.Service.Engine == nil && !t.limits(q) {
+// Acquire chooses a replica like Pick, but waits for a free slot at an engine or for
+// a permit. It returns nil when the wait is over or no replica may be chosen.
+func (t *Table) Acquire(ctx context.Context, q *Query, bounds WaitBounds) *Lease {
+	if q.Service.Engine == nil && !t.anyLimited(q) {
 		return t.Pick(q)
 	}
-	lease, one := t.enter(q, w)
-	if one == nil {
+	lease, queued := t.acquireOrQueue(q, bounds)
+	if queued == nil {
 		return lease
 	}
-	timer := time.NewTimer(t.Clock.Until(w.GiveUpAt))
+	timer := time.NewTimer(t.Clock.Until(bounds.GiveUpAt))
 	defer timer.Stop()
 	select {
-	case lease := <-one.ready:
+	case lease := <-queued.result:
 		return lease
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return t.leave(q.Service.Name, one)
+	return t.cancelWait(q.Service.Name, queued)
 }
 
-// enter returns a lease at once, or a place in the queue; neither when no
-// replica may be chosen.
-func (t *Table) enter(q *Query, w WaitBounds) (*Lease, *waiter) {
+// acquireOrQueue returns a lease at once, or a queued waiter; neither if no replica
+// may be chosen or waiting is pointless.
+func (t *Table) acquireOrQueue(q *Query, bounds WaitBounds) (*Lease, *waiter) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.arrivals(q.Service.Name).note(q.Now)
-	t.intake(q.Service.Name).asked.note(q.Now)
-	t.want(q.Service.Name, q.Now)
-	if t.best(q, func(x *target) bool { return !x.ending() }) == nil {
+	t.burstRate(q.Service.Name).add(q.Now)
+	t.statsOf(q.Service.Name).arrivals.add(q.Now)
+	t.wantPermits(q.Service.Name, q.Now)
+	if t.bestWhere(q, func(x *target) bool { return !x.ending() }) == nil {
 		return nil, nil
 	}
-	if rest := t.rested(q); rest > 0 && q.Now.Add(rest).After(w.GiveUpAt) {
+	if wait := t.timeUntilAvailable(q); wait > 0 && q.Now.Add(wait).After(bounds.GiveUpAt) {
 		return nil, nil
 	}
 	if len(t.queues[q.Service.Name]) == 0 {
 		if best := t.choose(q, false); best != nil {
-			return t.lease(best, q), nil
+			return t.newLease(best, q), nil
 		}
 	}
-	if !t.worthWaiting(q, w) {
+	if !t.shouldQueue(q, bounds) {
 		return nil, nil
 	}
-	one := &waiter{query: q, wait: w, ready: make(chan *Lease, 1)}
+	queued := &waiter{query: q, bounds: bounds, result: make(chan *Lease, 1)}
 	if t.queues == nil {
 		t.queues = map[graniteknot.Service][]*waiter{}
 	}
-	t.queues[q.Service.Name] = append(t.queues[q.Service.Name], one)
-	t.serve(q.Service.Name, t.Clock.Now())
-	return nil, one
+	t.queues[q.Service.Name] = append(t.queues[q.Service.Name], queued)
+	t.serveQueue(q.Service.Name, t.Clock.Now())
+	return nil, queued
 }
 
-// leave gives a place in the queue up. The lease may have come meanwhile.
-func (t *Table) leave(s graniteknot.Service, one *waiter) *Lease {
+// cancelWait removes a waiter from the queue. It returns the lease if one was handed
+// out meanwhile.
+func (t *Table) cancelWait(s graniteknot.Service, queued *waiter) *Lease {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.queues[s] = slices.DeleteFunc(t.queues[s], func(x *waiter) bool { return x == one })
+	t.queues[s] = slices.DeleteFunc(t.queues[s], func(x *waiter) bool { return x == queued })
 	select {
-	case lease := <-one.ready:
+	case lease := <-queued.result:
 		return lease
 	default:
 		return nil
 	}
 }
 
-// limits tells whether a replica of a service names a limit.
-func (t *Table) limits(q *Query) bool {
+// anyLimited reports whether a replica of the service is limited.
+func (t *Table) anyLimited(q *Query) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.ContainsFunc(t.services[q.Service.Name], (*target).limited)
 }
 
-// choose returns the best replica for a request, or for one that has waited; nil when there is
-// none now. Called with the lock held.
+// choose returns the best replica for a request, new or queued; nil if there is none
+// now. The caller holds the lock.
 func (t *Table) choose(q *Query, waiting bool) *target {
 	if q.Service.Engine == nil {
-		return t.plain(q)
+		return t.pickPlain(q)
 	}
-	return t.roomy(q, waiting)
+	return t.pickEngine(q, waiting)
 }
 
-// roomy returns the best usable replica of the groups that have room for one more
-// request, or for one that has waited; nil when none has. Called with the lock held.
-func (t *Table) roomy(q *Query, waiting bool) *target {
-	standings := t.standings(q)
-	var may []*target
-	for i := range standings {
-		may = append(may, standings[i].roomy(q, max(1, t.peers), waiting)...)
+// pickEngine returns the best engine of the groups with capacity for one more
+// request, new or queued; nil if there is none. The caller holds the lock.
+func (t *Table) pickEngine(q *Query, waiting bool) *target {
+	states := t.groupStates(q)
+	var available []*target
+	for i := range states {
+		available = append(available, states[i].availableEngines(q, max(1, t.gateways), waiting)...)
 	}
-	return cheapest(lapsingToo(t.sample(q.Service.Name, may, q.Now), may), q, standings)
+	return leastCost(addPermitted(t.sample(q.Service.Name, available, q.Now), available), q, states)
 }
 
-// lapsingToo adds to a sample of targets those of which this process has a permit. The others
-// can't choose these now.
-func lapsingToo(sample, all []*target) []*target {
+// addPermitted adds to a sample those targets that this process holds a permit for:
+// no other process can use that permit.
+func addPermitted(sample, all []*target) []*target {
 	if len(sample) == len(all) {
 		return sample
 	}
@@ -145,24 +147,23 @@
 	return sample
 }
 
-// serve hands free room to those who wait; called with the lock held.
-func (t *Table) serve(s graniteknot.Service, now time.Time) {
+// serveQueue gives free slots to queued requests. The caller holds the lock.
+func (t *Table) serveQueue(s graniteknot.Service, now time.Time) {
 	for len(t.queues[s]) > 0 {
-		turn := turn{event: now.Add(t.intake(s).first.expected())}
-		i := turn.first(t.queues[s])
-		one := t.queues[s][i]
-		one.query.Now, one.query.late = now, !one.wait.FirstEventBy.After(turn.event)
-		best := t.choose(one.query, true)
+		order := serviceOrder{firstEvent: now.Add(t.statsOf(s).firstEvent.expected())}
+		i := order.next(t.queues[s])
+		next := t.queues[s][i]
+		next.query.Now, next.query.late = now, !next.bounds.FirstEventBy.After(order.firstEvent)
+		best := t.choose(next.query, true)
 		if best == nil {
 			return
 		}
 		t.queues[s] = slices.Delete(t.queues[s], i, i+1)
-		one.ready <- t.lease(best, one.query)
+		next.result <- t.newLease(best, next.query)
 	}
 }
 
-// Queued tells how many requests wait for a service, and how many replicas have
-// no room.
+// Queued returns how many requests are queued for a service.
 func (t *Table) Queued(s *catalog.Service) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/core/fleet/rate.go
+++ b/internal/core/fleet/rate.go
@@ -5,37 +5,39 @@
 	"time"
 )
 
-// rateSpan is how far back arrivals count for their rate: a few reports, so that
-// a burst is seen, and many requests.
-const rateSpan = 500 * time.Millisecond
+// burstWindow is the default averaging window: a few reports, so that a burst shows,
+// and many requests.
+const burstWindow = 500 * time.Millisecond
 
-// rate is how many events come in a second, with the older ones fading. The zero
-// value has seen none.
-type rate struct {
-	// span is how far back events count; 0 is rateSpan.
-	span time.Duration
-	sum  float64
-	at   time.Time
+// decayingRate is an event rate with exponentially decaying weights. The zero value
+// has seen no events.
+type decayingRate struct {
+	// window is the averaging window; 0 means burstWindow.
+	window  time.Duration
+	count   float64
+	updated time.Time
 }
 
-// note takes in one event.
-func (r *rate) note(now time.Time) {
-	r.sum, r.at = r.faded(now)+1, now
+// add counts one event.
+func (r *decayingRate) add(now time.Time) {
+	r.count, r.updated = r.decayed(now)+1, now
 }
 
 // perSecond returns the rate.
-func (r *rate) perSecond(now time.Time) float64 { return r.faded(now) / r.length().Seconds() }
+func (r *decayingRate) perSecond(now time.Time) float64 {
+	return r.decayed(now) / r.effectiveWindow().Seconds()
+}
 
-func (r *rate) faded(now time.Time) float64 {
-	if r.at.IsZero() {
+func (r *decayingRate) decayed(now time.Time) float64 {
+	if r.updated.IsZero() {
 		return 0
 	}
-	return r.sum * math.Exp(-now.Sub(r.at).Seconds()/r.length().Seconds())
+	return r.count * math.Exp(-now.Sub(r.updated).Seconds()/r.effectiveWindow().Seconds())
 }
 
-func (r *rate) length() time.Duration {
-	if r.span > 0 {
-		return r.span
+func (r *decayingRate) effectiveWindow() time.Duration {
+	if r.window > 0 {
+		return r.window
 	}
-	return rateSpan
+	return burstWindow
 }
--- /dev/null
+++ b/internal/core/fleet/request_stats.go
@@ -0,0 +1,34 @@
+package fleet
+
+import (
+	"time"
+
+	graniteknot "graniteknot.org/go"
+)
+
+// arrivalWindow is the averaging window of the arrival rate, long enough to smooth
+// out the few requests that a single process sees.
+const arrivalWindow = 3 * time.Second
+
+// workFactorWindow is the averaging window of a group's work factor.
+const workFactorWindow = 2 * time.Second
+
+// requestStats describes this process's requests to a service's engines. The zero
+// value is empty.
+type requestStats struct {
+	// arrivals is the arrival rate.
+	arrivals decayingRate
+	// firstEvent estimates the time from sending a request to its first event.
+	firstEvent latencyEstimate
+}
+
+// statsOf returns a service's statistics. The caller holds the lock.
+func (t *Table) statsOf(s graniteknot.Service) *requestStats {
+	if t.stats == nil {
+		t.stats = map[graniteknot.Service]*requestStats{}
+	}
+	if t.stats[s] == nil {
+		t.stats[s] = &requestStats{arrivals: decayingRate{window: arrivalWindow}}
+	}
+	return t.stats[s]
+}
--- /dev/null
+++ b/internal/core/fleet/service_order.go
@@ -0,0 +1,33 @@
+package fleet
+
+import "time"
+
+// serviceOrder orders queued requests.
+type serviceOrder struct {
+	// firstEvent is when an engine that got a request now would send its first event.
+	firstEvent time.Time
+}
+
+// next returns the index of the request to serve next: the more urgent first, then
+// those that can still be in time, then by deadline. A retry's deadline counts from
+// its first try, since most retries have no further one left.
+func (o serviceOrder) next(queue []*waiter) int {
+	best := 0
+	for i := range queue {
+		if o.before(queue[i], queue[best]) {
+			best = i
+		}
+	}
+	return best
+}
+
+func (o serviceOrder) before(a, b *waiter) bool {
+	if a.query.Urgency != b.query.Urgency {
+		return a.query.Urgency < b.query.Urgency
+	}
+	aInTime, bInTime := a.bounds.FirstEventBy.After(o.firstEvent), b.bounds.FirstEventBy.After(o.firstEvent)
+	if aInTime != bInTime {
+		return aInTime
+	}
+	return a.bounds.FirstEventBy.Before(b.bounds.FirstEventBy)
+}
--- a/internal/core/fleet/silence.go
+++ b/internal/core/fleet/silence.go
@@ -7,157 +7,156 @@
 )
 
 const (
-	// leastSilence is how long neither a replica nor its sidecar may be heard
-	// before the replica is taken to be cut off, and silentDigests how many digests
-	// that is at least, some of which may be lost. It is less than callers wait for
-	// an event.
-	leastSilence  = 650 * time.Millisecond
-	silentDigests = 2.6
-	// othersHeard is how many digests ago another replica of the service was heard
-	// at most. When none was, it is this process that is cut off or stood still.
-	othersHeard = 2.5
-	// silentTrial is the time between two requests that find out whether a
-	// silent replica works: it may be the sidecar alone that is gone.
-	silentTrial = time.Second
+	// A replica counts as unreachable when neither it nor its sidecar has been heard
+	// for minSilence and at least silenceDigests digest periods, since digests may be
+	// lost. That is shorter than callers wait for an event.
+	minSilence     = 650 * time.Millisecond
+	silenceDigests = 2.6
+	// othersHeardDigests is how many digest periods ago another replica of the service
+	// must have been heard. Otherwise it is this process that is cut off or was stopped.
+	othersHeardDigests = 2.5
+	// silenceProbeInterval is the time between two requests that probe a silent
+	// replica: it may be the sidecar alone that is gone.
+	silenceProbeInterval = time.Second
 )
 
-// SilenceChange tells that a replica fell silent, or was heard again.
+// SilenceChange reports that a replica fell silent or was heard again.
 type SilenceChange struct {
 	Replica catalog.ReplicaID
 	Silent  bool
-	// SilentFor is how long ago the last sign of life was.
+	// SilentFor is the time since it was last heard.
 	SilentFor time.Duration
 }
 
-// Sweep tells which replicas fell silent, or were heard again, since the last
-// call, and returns the own requests at silent ones, and at lives that have ended,
-// that may be moved. Call Move on these. Those who wait for a place get one whose
-// replica has rested meanwhile, or are told that none will in time.
-func (t *Table) Sweep(now time.Time) (changed []SilenceChange, stuck []*Lease) {
+// Sweep returns the replicas that fell silent or were heard again since the last call,
+// and the leases to reroute: those at silent replicas, at lives that have ended and at
+// stragglers. The caller calls Reroute on these. Sweep also serves queued requests whose
+// replica's backoff has ended, and refuses those that can't be served in time.
+func (t *Table) Sweep(now time.Time) (changed []SilenceChange, reroute []*Lease) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	stuck, t.stranded = t.stranded, nil
+	reroute, t.orphaned = t.orphaned, nil
 	for _, list := range t.services {
-		last, answered := newest(list), answered(list)
+		heard, answered := lastHeardOf(list), lastResponseOf(list)
 		for _, x := range list {
-			x.patience = max(leastSilence, time.Duration(silentDigests*float64(t.period())))
-			silent := x.silent(last, answered, now, t.period())
-			if silent != x.cutOff {
-				x.cutOff = silent
-				changed = append(changed, SilenceChange{Replica: x.replica.ID, Silent: silent, SilentFor: now.Sub(x.life())})
+			x.silenceLimit = max(minSilence, time.Duration(silenceDigests*float64(t.reportPeriod())))
+			silent := x.detectSilence(heard, answered, now, t.reportPeriod())
+			if silent != x.unreachable {
+				x.unreachable = silent
+				changed = append(changed, SilenceChange{Replica: x.replica.ID, Silent: silent, SilentFor: now.Sub(x.lastHeard())})
 			}
 			if silent {
-				stuck = append(stuck, x.stuck(now)...)
+				reroute = append(reroute, x.reroutable(now)...)
 			}
 		}
 	}
 	for _, list := range t.groups {
 		for _, g := range list {
-			stuck = append(stuck, g.crippling(now)...)
+			reroute = append(reroute, g.stragglerLeases(now)...)
 		}
 	}
-	t.wake(now)
-	return changed, stuck
+	t.serveAfterBackoff(now)
+	return changed, reroute
 }
 
-// stuck returns the own requests at a silent target that may be moved. Those
-// that were sent to find out whether it works get the time to show it.
-func (t *target) stuck(now time.Time) []*Lease {
+// reroutable returns the leases at a silent target that may be rerouted. Probes get
+// time to show that it works.
+func (t *target) reroutable(now time.Time) []*Lease {
 	var out []*Lease
 	for l := range t.own {
-		if l.move != nil && (!l.risked || now.Sub(l.sent) > t.patience) {
+		if l.reroute != nil && (!l.silenceProbe || now.Sub(l.sent) > t.silenceLimit) {
 			out = append(out, l)
 		}
 	}
 	return out
 }
 
-// crippling returns the own requests that may be moved from ranks that are too slow.
-func (g *group) crippling(now time.Time) []*Lease {
-	load := loadOf(g.targets, now)
+// stragglerLeases returns the leases that may be rerouted from the group's stragglers.
+func (g *group) stragglerLeases(now time.Time) []*Lease {
+	load := groupLoadOf(g.targets, now)
 	var out []*Lease
 	for _, x := range g.targets {
-		if !x.cutOff {
-			out = append(out, x.crippling(load, now)...)
+		if !x.unreachable {
+			out = append(out, x.stragglerLeases(load, now)...)
 		}
 	}
 	return out
 }
 
-// crippling returns the own requests that may be moved from a rank that is so slow
-// that its own part makes all of its group's passes too long. Elsewhere they, and all
-// others, go on at once; there they would keep the group slow until they end.
-func (t *target) crippling(g groupLoad, now time.Time) []*Lease {
-	slower := t.slower(g, now)
-	if slower <= slowPace {
+// stragglerLeases returns the leases that may be rerouted from a rank so slow that its
+// own part makes all of its group's passes too long. Elsewhere they and all others
+// proceed at once; here they would slow the group down until they end.
+func (t *target) stragglerLeases(g groupLoad, now time.Time) []*Lease {
+	pace := t.relativePace(g, now)
+	if pace <= stragglerPace {
 		return nil
 	}
 	var out []*Lease
 	for l := range t.own {
-		if l.move == nil || l.engine == nil {
+		if l.reroute == nil || l.engine == nil {
 			continue
 		}
-		if r := roomOf(l.engine, l.gap, &g); r.cripples(slower, g.running) {
+		if m := passModelOf(l.engine, l.maxGap, &g); m.stragglerTooSlow(pace, g.running) {
 			out = append(out, l)
 		}
 	}
 	return out
 }
 
-// life is the last sign of life of a replica that has a sidecar; zero for one
-// that has none, of which silence says nothing.
-func (t *target) life() time.Time {
-	if t.load.Taken.IsZero() || t.load.Taken.After(t.heard) {
+// lastHeard returns when the replica or its sidecar was last heard; zero without a
+// sidecar, since silence shows nothing then.
+func (t *target) lastHeard() time.Time {
+	if t.load.Taken.IsZero() || t.load.Taken.After(t.lastResponse) {
 		return t.load.Taken
 	}
-	return t.heard
+	return t.lastResponse
 }
 
-// silent tells whether a replica is cut off: it was not heard for too long while
-// others of its service were, of which newest is the last sign of life and answered the
-// last part of an own answer. Reports that came through another gateway do not show that
-// this one reaches the replica; then the events of an own stream there have to.
-func (t *target) silent(newest, answered, now time.Time, period time.Duration) bool {
-	if t.load.Relayed && t.streams() && now.Sub(t.heard) > t.patience && now.Sub(answered) < time.Duration(othersHeard*float64(period)) {
+// detectSilence reports whether a replica is unreachable: it hasn't been heard for too
+// long while others of its service have. newest is when any of these was last heard,
+// answered when any last sent part of a response. Reports relayed by another gateway
+// don't show that this one reaches the replica; an active stream's events must.
+func (t *target) detectSilence(othersHeard, othersAnswered, now time.Time, period time.Duration) bool {
+	if t.load.Relayed && t.streaming() && now.Sub(t.lastResponse) > t.silenceLimit && now.Sub(othersAnswered) < time.Duration(othersHeardDigests*float64(period)) {
 		return true
 	}
-	life := t.life()
-	return !life.IsZero() && now.Sub(life) > t.patience && now.Sub(newest) < time.Duration(othersHeard*float64(period))
+	heard := t.lastHeard()
+	return !heard.IsZero() && now.Sub(heard) > t.silenceLimit && now.Sub(othersHeard) < time.Duration(othersHeardDigests*float64(period))
 }
 
-// streams tells whether an own request at the target has begun to be answered, and
-// should get an event with each pass.
-func (t *target) streams() bool {
+// streaming reports whether a response from the target has started, so that an event
+// is due with each pass.
+func (t *target) streaming() bool {
 	for l := range t.own {
-		if l.begun && l.engine != nil {
+		if l.started && l.engine != nil {
 			return true
 		}
 	}
 	return false
 }
 
-// spared tells whether a silent target gets no request now.
-func (t *target) spared(now time.Time) bool {
-	return t.cutOff && now.Sub(t.life()) > t.patience && (len(t.own) > 0 || now.Sub(t.risked) < silentTrial)
+// withheld reports whether a silent target gets no requests now.
+func (t *target) withheld(now time.Time) bool {
+	return t.unreachable && now.Sub(t.lastHeard()) > t.silenceLimit && (len(t.own) > 0 || now.Sub(t.probedAt) < silenceProbeInterval)
 }
 
-// answered returns when any of the targets in a list last gave a part of an own answer.
-func answered(list []*target) time.Time {
+// lastResponseOf returns when any target in a list last sent part of a response.
+func lastResponseOf(list []*target) time.Time {
 	var out time.Time
 	for _, x := range list {
-		if x.heard.After(out) {
-			out = x.heard
+		if x.lastResponse.After(out) {
+			out = x.lastResponse
 		}
 	}
 	return out
 }
 
-// newest returns the last sign of life of all targets in a list.
-func newest(list []*target) time.Time {
+// lastHeardOf returns when any target in a list was last heard.
+func lastHeardOf(list []*target) time.Time {
 	var out time.Time
 	for _, x := range list {
-		if life := x.life(); life.After(out) {
-			out = life
+		if heard := x.lastHeard(); heard.After(out) {
+			out = heard
 		}
 	}
 	return out
--- a/internal/core/fleet/table.go
+++ b/internal/core/fleet/table.go
@@ -11,71 +11,73 @@
 )
 
 const (
-	// reportAge is how old a report may be to count.
-	reportAge = 1500 * time.Millisecond
-	// firstReport is how long a new engine waits for its sidecar's first report
-	// before it is taken to have none.
-	firstReport = time.Second
-	// firstPause is how long a replica is left alone after a failure; it
-	// doubles with each failure in a row, up to longestPause.
-	firstPause   = 250 * time.Millisecond
-	longestPause = 4 * time.Second
-	// patience is how many failures in a row are taken for chance.
-	patience = 2
-	// lapseTime is how long a replica is still used whose record vanished while
-	// the store was away: a live replica registers again within it.
-	lapseTime = 2 * time.Second
-	// smoothing is the weight of a new latency in the mean.
-	smoothing = 0.3
+	// maxReportAge is how old a report may be to count.
+	maxReportAge = 1500 * time.Millisecond
+	// firstReportWait is how long a new engine waits for its sidecar's first report
+	// before it is taken to have no sidecar.
+	firstReportWait = time.Second
+	// baseEjection is how long a replica is ejected after a failure; it doubles with
+	// each consecutive failure, up to maxEjection.
+	baseEjection = 250 * time.Millisecond
+	maxEjection  = 4 * time.Second
+	// ejectAfter is how many consecutive failures eject a replica.
+	ejectAfter = 2
+	// lapseGrace is how long a replica stays in use after its record vanished while the
+	// store was away: a live replica registers again within it.
+	lapseGrace = 2 * time.Second
+	// latencyWeight is the weight of a new latency in the moving mean.
+	latencyWeight = 0.3
 )
 
-// Table knows the replicas. The zero value is empty.
+// Table holds the known replicas. The zero value is empty.
 type Table struct {
-	// Clock is what ages are decided by; it is set before use.
+	// Clock determines ages; it is set before use.
 	Clock graniteknot.AgeClock
 
 	mu      sync.Mutex
 	targets map[catalog.ReplicaID]*target
-	// lives are what sidecars told of who is at an address.
-	lives map[graniteknot.Address]life
-	// addresses holds them by address.
+	// reportedLives holds the lives that sidecars reported, by address.
+	reportedLives map[graniteknot.Address]reportedLife
+	// addresses, services and groups index the same targets by address, by service,
+	// and by service and group.
 	addresses map[graniteknot.Address][]*target
 	// services holds the same targets by service.
 	services map[graniteknot.Service][]*target
 	// groups holds the same targets by service and group.
 	groups map[graniteknot.Service][]*group
-	// queues hold those who wait for room, by service.
+	// queues hold the queued requests by service.
 	queues map[graniteknot.Service][]*waiter
-	// rates are how often own requests come, by service.
-	rates map[graniteknot.Service]*rate
-	// intakes are what is seen of own requests to engines, by service.
-	intakes map[graniteknot.Service]*intake
-	// words are what lives said to this process, also of those whose record is gone.
-	words map[catalog.Life]*word
-	// outbox is what is to be told of limits.
+	// burstRates are the recent rates of own requests by service.
+	burstRates map[graniteknot.Service]*decayingRate
+	// stats describe own requests to engines by service.
+	stats map[graniteknot.Service]*requestStats
+	// lives holds the feedback from each life, also of those without a record.
+	lives map[catalog.Life]*lifeState
+	// outbox holds the notices and permit requests to send.
 	outbox outbox
-	// home deals out limits where there is nobody else to ask.
-	home quota.Home
-	// places are when the last caller of a service that got no permit was told to come back.
-	places map[graniteknot.Service]time.Time
-	// stranded are own requests at lives that have ended, until the next look.
-	stranded []*Lease
-	// peers is how many gateways share the replicas; 0 counts as one.
-	peers int
+	// localGranter grants permits if there is no other process to ask.
+	localGranter quota.Home
+	// retryTimes is, by service, the last retry time given to a caller that got no
+	// permit.
+	retryTimes map[graniteknot.Service]time.Time
+	// orphaned holds own leases at lives that have ended, until the next sweep.
+	orphaned []*Lease
+	// gateways is how many gateways share the replicas; 0 counts as one.
+	gateways int
 }
 
-// SetGateways tells how many gateways share the replicas now.
+// SetGateways sets how many gateways share the replicas.
 func (t *Table) SetGateways(gateways int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.peers = gateways
+	t.gateways = gateways
 }
 
-// Put adds or changes a registered replica whose record has just been written. It returns
-// whether anything but a heartbeat changed.
+// Put adds or updates a registered replica whose record has just been written. It
+// returns whether anything but a heartbeat changed.
 func (t *Table) Put(r catalog.Replica, now time.Time) bool { return t.PutSince(r, now, now) }
 
-// PutSince is Put for a record that may have been written at any time after one.
+// PutSince is Put for a record that was written at since or later.
 func (t *Table) PutSince(r catalog.Replica, since, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,7 +86,7 @@
 		t.services = map[graniteknot.Service][]*target{}
 		t.addresses = map[graniteknot.Address][]*target{}
 	}
-	if t.over(&r) {
+	if t.lifeEnded(&r) {
 		return false
 	}
 	old := t.targets[r.ID]
@@ -96,70 +98,71 @@
 		if r.Written < old.replica.Written {
 			return false
 		}
-		t.succeed(old)
+		t.replaceLife(old)
 		t.add(r, since, now)
 		return true
 	}
 	changed := old.replica.Draining != r.Draining || !old.lapsed.IsZero()
-	// A replica that once said that it leaves does not come back in this life.
+	// Draining is final within a life.
 	r.Draining = r.Draining || old.replica.Draining
 	if old.replica.Address != r.Address {
-		t.move(old, r.Address)
+		t.changeAddress(old, r.Address)
 	}
 	if r.Written > old.replica.Written && (r.Beat == 0 || r.Beat > old.replica.Beat) {
-		// The store shows a record again after its return from an older copy.
-		old.beat = since
+		// A store restored from an older copy shows a record at a new position, but with
+		// no later heartbeat.
+		old.lastHeartbeat = since
 	}
 	if r.Group != old.replica.Group {
-		t.quit(old)
+		t.leaveGroup(old)
 		old.replica = r
-		t.join(old)
+		t.joinGroup(old)
 	}
 	old.replica = r
 	old.lapsed = time.Time{}
-	t.heedRecord(old, now)
-	if old.replaced || old.outlived {
-		t.settle(r.Address)
+	t.noteDraining(old, now)
+	if old.addressTaken || old.superseded {
+		t.resolveAddress(r.Address)
 	}
 	return changed
 }
 
-// add registers a replica; called with the lock held.
+// add registers a replica. The caller holds the lock.
 func (t *Table) add(r catalog.Replica, since, now time.Time) {
-	added := &target{replica: r, registered: now, since: since, own: map[*Lease]struct{}{}}
-	t.recall(added)
-	t.heedRecord(added, now)
-	t.targets[r.ID] = added
-	t.services[r.Service] = append(t.services[r.Service], added)
-	t.addresses[r.Address] = append(t.addresses[r.Address], added)
-	t.join(added)
-	t.inherit(added, now)
-	t.settle(r.Address)
+	x := &target{replica: r, registered: now, writtenAfter: since, own: map[*Lease]struct{}{}}
+	t.restoreLife(x)
+	t.noteDraining(x, now)
+	t.targets[r.ID] = x
+	t.services[r.Service] = append(t.services[r.Service], x)
+	t.addresses[r.Address] = append(t.addresses[r.Address], x)
+	t.joinGroup(x)
+	t.inheritFeedback(x, now)
+	t.resolveAddress(r.Address)
 }
 
-// succeed takes out a life whose replica has begun another one under the same id. What is
-// known of it says nothing of the next, and what it has will not be answered: those requests
-// are moved with the next look at silent replicas. Called with the lock held.
-func (t *Table) succeed(old *target) {
+// replaceLife removes a life whose replica has started a new one with the same ID.
+// The next life starts without its state, and its requests won't be answered: the
+// next sweep reroutes them. The caller holds the lock.
+func (t *Table) replaceLife(old *target) {
 	for l := range old.own {
-		if l.move != nil {
-			t.stranded = append(t.stranded, l)
+		if l.reroute != nil {
+			t.orphaned = append(t.orphaned, l)
 		}
 	}
 	t.remove(old.replica.ID)
 }
 
-// move notes that a target has another address.
-func (t *Table) move(x *target, to graniteknot.Address) {
+// changeAddress moves a target to another address in the index.
+func (t *Table) changeAddress(x *target, to graniteknot.Address) {
 	from := x.replica.Address
 	t.addresses[from] = without(t.addresses[from], x)
 	t.addresses[to] = append(t.addresses[to], x)
-	t.settle(from)
+	t.resolveAddress(from)
 }
 
-// settle finds out which of the replicas that are registered at an address has
-// it now: the one that wrote last.
-func (t *Table) settle(a graniteknot.Address) {
+// resolveAddress marks all replicas registered at an address but the one that wrote
+// last as having lost it.
+func (t *Table) resolveAddress(a graniteknot.Address) {
 	var newest *target
 	for _, x := range t.addresses[a] {
 		if newest == nil || x.replica.Written > newest.replica.Written {
@@ -167,12 +170,12 @@
 		}
 	}
 	for _, x := range t.addresses[a] {
-		x.replaced = x != newest
+		x.addressTaken = x != newest
 	}
-	t.outlive(a)
+	t.markSuperseded(a)
 }
 
-// Remove takes out a replica whose record is gone.
+// Remove removes a replica whose record is gone.
 func (t *Table) Remove(id catalog.ReplicaID) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -184,17 +187,17 @@
 	if old == nil {
 		return false
 	}
-	t.noteGone(old)
+	t.markEnded(old)
 	delete(t.targets, id)
 	t.addresses[old.replica.Address] = without(t.addresses[old.replica.Address], old)
-	t.settle(old.replica.Address)
+	t.resolveAddress(old.replica.Address)
 	t.services[old.replica.Service] = without(t.services[old.replica.Service], old)
-	t.quit(old)
+	t.leaveGroup(old)
 	return true
 }
 
-// MarkLapsed notes that a record vanished at a time at which the store can't be
-// trusted to know.
+// MarkLapsed marks a record as vanished while the store can't be trusted. It returns
+// whether anything changed.
 func (t *Table) MarkLapsed(id catalog.ReplicaID, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -206,8 +209,8 @@
 	return true
 }
 
-// RemoveLapsed removes the replicas whose records vanished, once the store has been
-// back since the given time for long enough. It returns their ids.
+// RemoveLapsed removes the replicas whose records have lapsed, once the store has been
+// back for long enough since the given time. It returns their IDs.
 func (t *Table) RemoveLapsed(back, now time.Time) []catalog.ReplicaID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -220,7 +223,7 @@
 		if back.After(since) {
 			since = back
 		}
-		if now.Sub(since) >= lapseTime {
+		if now.Sub(since) >= lapseGrace {
 			out = append(out, id)
 		}
 	}
@@ -230,7 +233,7 @@
 	return out
 }
 
-// IDs returns the ids of all known replicas.
+// IDs returns the IDs of all known replicas.
 func (t *Table) IDs() []catalog.ReplicaID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -241,7 +244,7 @@
 	return out
 }
 
-// Unserved returns the ids of the replicas whose service is not among those served.
+// Unserved returns the IDs of the replicas whose service isn't served.
 func (t *Table) Unserved(served func(graniteknot.Service) bool) []catalog.ReplicaID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -254,20 +257,20 @@
 	return out
 }
 
-// Report takes the report of the replica at an address.
+// Report updates the load of the replica at an address.
 func (t *Table) Report(a graniteknot.Address, l Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.met(a, l.Life, l.Taken)
+	t.noteReportedLife(a, l.Life, l.Taken)
 	for _, x := range t.addresses[a] {
-		if l.Taken.After(x.load.Taken) && !x.outlived {
+		if l.Taken.After(x.load.Taken) && !x.superseded {
 			x.load = l
-			t.serve(x.replica.Service, l.Taken)
+			t.serveQueue(x.replica.Service, l.Taken)
 		}
 	}
 }
 
-// Count tells how many replicas a service has, and how many may be used.
+// Count returns how many replicas a service has and how many of them are usable.
 func (t *Table) Count(s graniteknot.Service, now time.Time) (all, usable int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -281,17 +284,17 @@
 }
 
 func (t *target) usable(now time.Time) bool {
-	return !t.barred(now) && !t.paused(now) && !t.onTrial()
+	return !t.excluded(now) && !t.ejected(now) && !t.confirming()
 }
 
-// ending tells whether a replica leaves or has ended.
+// ending reports whether a replica is leaving or has ended.
 func (t *target) ending() bool {
-	return t.replica.Draining || t.replaced || t.outlived || t.word != nil && t.word.leaving
+	return t.replica.Draining || t.addressTaken || t.superseded || t.life != nil && t.life.leaving
 }
 
-// paused tells whether a replica that failed is left alone for now.
-func (t *target) paused(now time.Time) bool {
-	return t.failures >= patience && (now.Before(t.until) || t.trial)
+// ejected reports whether a replica that failed gets no requests now.
+func (t *target) ejected(now time.Time) bool {
+	return t.failures >= ejectAfter && (now.Before(t.ejectedUntil) || t.probing)
 }
 
 // jitter breaks ties between equal targets.
--- a/internal/core/fleet/target.go
+++ b/internal/core/fleet/target.go
@@ -7,103 +7,102 @@
 	"graniteknot.org/go/catalog"
 )
 
-// Load is a replica's own report.
+// Load is a replica's report of its own load.
 type Load struct {
-	// Running requests are in the batch, Waiting ones before it.
+	// Running requests are in the batch, Waiting ones are queued for it.
 	Running, Waiting int
-	// Pace above 1 is a slow replica.
+	// Pace is above 1 for a slow replica.
 	Pace float64
-	// Pass is how long a pass takes; 0 is unknown, as in an idle group.
+	// Pass is the duration of a pass; 0 if unknown, as in an idle group.
 	Pass time.Duration
-	// Forecast is the keeper's of the group; zero from other ranks.
+	// Forecast is that of the group's keeper; zero in reports of other ranks.
 	Forecast Forecast
-	// GroupDown groups do not run.
+	// GroupDown reports that the replica's group isn't running.
 	GroupDown bool
-	// Relayed reports came through another gateway: they do not show that this process
+	// Relayed reports came through another gateway: they don't show that this process
 	// can reach the replica.
 	Relayed bool
-	// Life is the mark of the replica that made the report; 0 is unknown.
+	// Life is the mark of the life that sent the report; 0 if unknown.
 	Life catalog.Mark
 	// Taken is when the report was made.
 	Taken time.Time
 }
 
-// target is one replica and what is known of it. The table's lock guards it.
+// target is a replica and its state in this process. Guarded by the table's lock.
 type target struct {
 	replica catalog.Replica
-	// registered is when this process learned of it. Since is when its record was written at
-	// the earliest, beat the same of its last heartbeat; zero before.
-	registered, since, beat time.Time
-	// lapsed is when its record vanished without a word while the store could
-	// not be trusted; zero when it is there.
+	// registered is when this process learned of it. Its record was written at
+	// writtenAfter or later, its last heartbeat at lastHeartbeat or later; zero before
+	// the first.
+	registered, writtenAfter, lastHeartbeat time.Time
+	// lapsed is when its record vanished while the store could not be trusted; zero
+	// while the record is there.
 	lapsed time.Time
 
-	// replaced tells that another replica has the address, which shows that this
-	// one has ended: its record goes only some heartbeats later.
-	replaced bool
+	// addressTaken reports whether another replica has its address. That shows that
+	// this one has ended; its record goes only some heartbeats later.
+	addressTaken bool
 
-	// outlived tells that the sidecar at the address told of another life, and that no
-	// heartbeat of this one has come since.
-	outlived bool
+	// superseded reports whether the sidecar at the address reported another life, with
+	// no heartbeat of this one since.
+	superseded bool
 
-	// group is the one that it is in.
+	// group is the group that the target belongs to.
 	group *group
 
-	// own are this process's requests at the replica.
+	// own holds this process's requests at the replica.
 	own map[*Lease]struct{}
-	// heard is when the replica last gave this process a part of an answer.
-	heard time.Time
-	// cutOff tells that the last look found the replica silent; risked is when a
-	// request was last sent to find out whether it still is.
-	cutOff bool
-	risked time.Time
-	// patience is how long it may be silent, as of the last look.
-	patience time.Duration
+	// lastResponse is when the replica last sent this process part of a response.
+	lastResponse time.Time
+	// unreachable reports whether the last sweep found the replica silent; probedAt is
+	// when a request was last sent to probe it.
+	unreachable bool
+	probedAt    time.Time
+	// silenceLimit is how long it may be silent, as of the last sweep.
+	silenceLimit time.Duration
 	// load is the last report; its Taken is zero before the first.
 	load Load
 
-	// word is what its life said to this process; nil for nothing.
-	word *word
+	// life is the state of its life; nil without feedback.
+	life *lifeState
 
-	// failures counts failures in a row; until is when it is tried again.
-	failures int
-	until    time.Time
-	// trial tells that a request is under way that tries a failed replica.
-	trial bool
-	// latency is a moving mean of the time to the first byte; 0 before the
-	// first.
+	// failures counts consecutive failures; ejectedUntil is when it may be probed.
+	failures     int
+	ejectedUntil time.Time
+	// probing reports whether a request that probes it is in flight.
+	probing bool
+	// latency is a moving mean of the time to the first byte; 0 before the first.
 	latency time.Duration
 }
 
-// takes tells whether an engine may get requests now. One whose group does not
-// run would refuse them, which uses up the retry budget.
-// Neither may a new one whose sidecar has not told yet whether it does, nor one
-// that is cut off.
-func (t *target) takes(now time.Time) bool {
-	if t.spared(now) || t.replaced || t.outlived {
+// accepts reports whether an engine may get requests now. An engine whose group is
+// down would refuse them, which uses up the retry budget. A new engine must first
+// report whether it runs, and an unreachable one gets only probes.
+func (t *target) accepts(now time.Time) bool {
+	if t.withheld(now) || t.addressTaken || t.superseded {
 		return false
 	}
 	if t.load.Taken.IsZero() {
-		return t.usable(now) && now.Sub(t.registered) >= firstReport
+		return t.usable(now) && now.Sub(t.registered) >= firstReportWait
 	}
-	closed := t.load.GroupDown && now.Sub(t.load.Taken) < reportAge
+	closed := t.load.GroupDown && now.Sub(t.load.Taken) < maxReportAge
 	return t.usable(now) && !closed
 }
 
-// reading returns the prompt tokens of own requests that have no first event.
-func (t *target) reading() graniteknot.Tokens {
+// prefillTokens returns the prompt tokens of own requests without a first event.
+func (t *target) prefillTokens() graniteknot.Tokens {
 	var sum graniteknot.Tokens
 	for l := range t.own {
-		if !l.begun {
+		if !l.started {
 			sum += l.size.Prompt
 		}
 	}
 	return sum
 }
 
-// others estimates the requests at the replica that are not this process's.
-func (t *target) others(now time.Time) int {
-	if t.load.Taken.IsZero() || now.Sub(t.load.Taken) > reportAge {
+// otherRequests estimates the requests at the replica from other processes.
+func (t *target) otherRequests(now time.Time) int {
+	if t.load.Taken.IsZero() || now.Sub(t.load.Taken) > maxReportAge {
 		return 0
 	}
 	known := 0
@@ -115,10 +114,10 @@
 	return max(0, t.load.Running+t.load.Waiting-known)
 }
 
-// without returns a list without one target; the list itself stays as it is.
-func without(list []*target, one *target) []*target {
+// without returns a list without one target, and leaves the list itself unchanged.
+func without(list []*target, excluded *target) []*target {
 	for i, x := range list {
-		if x == one {
+		if x == excluded {
 			return append(list[:i:i], list[i+1:]...)
 		}
 	}
--- a/internal/core/fleet/verdict.go
+++ b/internal/core/fleet/verdict.go
@@ -1,6 +1,6 @@
 package fleet
 
-var verdictWords = [...]string{"none", "good", "full", "bad", "gone"}
+var verdictNames = [...]string{"none", "good", "full", "bad", "gone"}
 
-// String returns the word used in logs.
-func (v Verdict) String() string { return verdictWords[v] }
+// String returns the name used in logs.
+func (v Verdict) String() string { return verdictNames[v] }
--- a/internal/core/fleet/wait.go
+++ b/internal/core/fleet/wait.go
@@ -6,69 +6,69 @@
 	graniteknot "graniteknot.org/go"
 )
 
-// fewLeft is the part of what engines can answer that has to be left by those who
-// can be in time for those who can't to be served in some time.
-const fewLeft = 0.05
+// minSpareShare is the share of the throughput that requests in time must leave over
+// for late ones to be served within a reasonable time.
+const minSpareShare = 0.05
 
-// worthWaiting tells whether a request that finds no room is to wait: it can still
-// be in time behind those before it, or it will be late but served while its caller
-// waits; or how much the groups bear is not known, since none runs yet or one has just
-// begun to. Others are better told at once. Called with the lock held.
-func (t *Table) worthWaiting(q *Query, w WaitBounds) bool {
+// shouldQueue reports whether a request without a free slot is queued: if it can be in
+// time behind the requests before it; if it will be late but served while its caller
+// waits; or if capacity is unknown, because no group runs yet or one is recovering.
+// Others are better refused at once. The caller holds the lock.
+func (t *Table) shouldQueue(q *Query, bounds WaitBounds) bool {
 	s := q.Service.Name
-	rate := t.answers(q)
+	rate := t.throughput(q)
 	switch {
 	case rate <= 0 && q.Service.Engine != nil:
-		return !t.down(s, q.Now)
-	case t.bound(q, rate):
-		inTime, _ := t.ahead(s, q, w)
-		return t.permitsFor(q, w, inTime)
+		return !t.allDown(s, q.Now)
+	case t.limitBound(q, rate):
+		inTime, _ := t.queuedAhead(s, q, bounds)
+		return t.permitInTime(q, bounds, inTime)
 	case q.Service.Engine == nil:
 		return false
 	}
-	if t.opening(s, q.Now) {
+	if t.recovering(s, q.Now) {
 		return true
 	}
-	inTime, all := t.ahead(s, q, w)
-	first := t.intake(s).first.expected()
-	if start := q.Now.Add(after(inTime, rate)); start.Add(first).Before(w.FirstEventBy) {
+	inTime, all := t.queuedAhead(s, q, bounds)
+	first := t.statsOf(s).firstEvent.expected()
+	if start := q.Now.Add(timeFor(inTime, rate)); start.Add(first).Before(bounds.FirstEventBy) {
 		return true
 	}
-	left := rate - t.intake(s).asked.perSecond(q.Now)
-	return left > fewLeft*rate && q.Now.Add(after(all, left)).Before(w.GiveUpAt)
+	spare := rate - t.statsOf(s).arrivals.perSecond(q.Now)
+	return spare > minSpareShare*rate && q.Now.Add(timeFor(all, spare)).Before(bounds.GiveUpAt)
 }
 
-// bound tells whether it is the limits of a service's replicas that bound what this process may
-// send them, and not what they can answer; called with the lock held.
-func (t *Table) bound(q *Query, rate float64) bool {
-	perSecond, scarce := t.scarce(q.Service.Name, q.Now)
-	return scarce && (q.Service.Engine == nil || perSecond < rate)
+// limitBound reports whether the replicas' limits, and not their throughput, bound
+// what this process may send. The caller holds the lock.
+func (t *Table) limitBound(q *Query, rate float64) bool {
+	perSecond, limited := t.limitedRate(q.Service.Name, q.Now)
+	return limited && (q.Service.Engine == nil || perSecond < rate)
 }
 
-// permitsFor tells whether a request gets a permit by which it can be in time, behind so many
-// that wait before it: this process holds one, or hears at once whether it gets one. Called
-// with the lock held.
-func (t *Table) permitsFor(q *Query, w WaitBounds, before int) bool {
-	by := w.FirstEventBy.Add(-t.intake(q.Service.Name).first.expected())
+// permitInTime reports whether a request behind before others gets a permit that lets
+// it be in time: this process holds one, or will soon hear whether it gets one. The
+// caller holds the lock.
+func (t *Table) permitInTime(q *Query, bounds WaitBounds, before int) bool {
+	by := bounds.FirstEventBy.Add(-t.statsOf(q.Service.Name).firstEvent.expected())
 	permits, soon := 0, false
 	for _, x := range t.services[q.Service.Name] {
-		if x.barred(q.Now) || !x.limited() {
+		if x.excluded(q.Now) || !x.limited() {
 			continue
 		}
-		permits += x.word.limit.part.By(by, q.Now)
-		_, due := t.outbox.asking[x.replica.Life()]
-		soon = soon || due || x.word.limit.part.Answers(q.Now)
+		permits += x.life.limit.permits.By(by, q.Now)
+		_, due := t.outbox.wanted[x.replica.Life()]
+		soon = soon || due || x.life.limit.permits.Answers(q.Now)
 	}
 	return q.Now.Before(by) && (permits > before || soon)
 }
 
-// ahead counts those who are served before a request: those who can be in time, and
-// all.
-func (t *Table) ahead(s graniteknot.Service, q *Query, w WaitBounds) (inTime, all int) {
-	turn := turn{event: q.Now.Add(t.intake(s).first.expected())}
-	mine := &waiter{query: q, wait: w}
+// queuedAhead counts the requests served before a request: those that can be in time,
+// and all.
+func (t *Table) queuedAhead(s graniteknot.Service, q *Query, bounds WaitBounds) (inTime, all int) {
+	order := serviceOrder{firstEvent: q.Now.Add(t.statsOf(s).firstEvent.expected())}
+	own := &waiter{query: q, bounds: bounds}
 	for _, x := range t.queues[s] {
-		if x.wait.FirstEventBy.After(turn.event) && !turn.before(mine, x) {
+		if x.bounds.FirstEventBy.After(order.firstEvent) && !order.before(own, x) {
 			inTime++
 		}
 		if x.query.Urgency <= q.Urgency {
@@ -78,37 +78,37 @@
 	return inTime, all
 }
 
-// answers is how many requests a second this process may send to a service's
-// engines, by how long their groups' passes took over the last seconds; 0 when none run.
-func (t *Table) answers(q *Query) float64 {
+// throughput returns how many requests a second this process may send to a service's
+// engines, from its groups' pass times over the last seconds; 0 if none run.
+func (t *Table) throughput(q *Query) float64 {
 	sum := 0.0
-	for _, s := range t.standings(q) {
-		sum += s.answers(q)
+	for _, s := range t.groupStates(q) {
+		sum += s.throughput(q)
 	}
-	return sum / float64(max(1, t.peers))
+	return sum / float64(max(1, t.gateways))
 }
 
-// answers is how many requests a second the group answers.
-func (s *standing) answers(q *Query) float64 {
-	if s.usable == 0 {
+// throughput returns how many requests a second the group answers.
+func (s *groupState) throughput(q *Query) float64 {
+	if s.usableEngines == 0 {
 		return 0
 	}
-	r := s.room
-	if !r.assumed {
-		r.factor = s.slowly(r.factor, q.Now)
+	m := s.model
+	if !m.assumed {
+		m.workFactor = s.smoothWorkFactor(m.workFactor, q.Now)
 	}
-	n := r.writers()
-	life := time.Duration(q.Service.Engine.Passes()) * r.pass(n)
-	return n * s.usable / life.Seconds()
+	n := m.maxRequests()
+	duration := time.Duration(q.Service.Engine.Passes()) * m.passTime(n)
+	return n * s.usableEngines / duration.Seconds()
 }
 
-// after is how long so many take at a rate in a second.
-func after(n int, perSecond float64) time.Duration {
+// timeFor returns how long n requests take at a rate per second.
+func timeFor(n int, perSecond float64) time.Duration {
 	return time.Duration(float64(n) / perSecond * float64(time.Second))
 }
 
-// QueueDrainTime returns in how long those who wait for a service's engines will have been
-// served, as this process expects; 0 when none wait.
+// QueueDrainTime estimates how long it takes to serve the requests queued for a
+// service's engines; 0 if none are queued.
 func (t *Table) QueueDrainTime(q *Query) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -116,10 +116,10 @@
 	if q.Service.Engine == nil || waiting == 0 {
 		return 0
 	}
-	rate := t.answers(q)
-	left := max(rate-t.intake(q.Service.Name).asked.perSecond(q.Now), fewLeft*rate)
-	if left <= 0 {
+	rate := t.throughput(q)
+	spare := max(rate-t.statsOf(q.Service.Name).arrivals.perSecond(q.Now), minSpareShare*rate)
+	if spare <= 0 {
 		return 0
 	}
-	return after(waiting, left)
+	return timeFor(waiting, spare)
 }
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -53,28 +53,28 @@
 		Package: "internal/core/spread", Test: "TestApartForAnHour", Says: "an old snapshot was taken",
 	},
 	{
-		Name: "a replica that rests is chosen", File: "internal/core/fleet/word.go",
-		Old: "return t.word != nil && now.Before(t.word.rest)", New: "return false && now.IsZero()",
+		Name: "a replica that is backing off is chosen", File: "internal/core/fleet/feedback.go",
+		Old: "return t.life != nil && now.Before(t.life.backoffUntil)", New: "return false && now.IsZero()",
 		Package: "internal/core/fleet", Test: "TestRestEndsWhenItWasSaidTo",
 	},
 	{
-		Name: "a word ends with its record", File: "internal/core/fleet/word.go",
-		Old: "\tx.word = t.words[x.replica.Life()]\n", New: "",
+		Name: "feedback is lost with the record", File: "internal/core/fleet/feedback.go",
+		Old: "\tx.life = t.lives[x.replica.Life()]\n", New: "",
 		Package: "internal/core/fleet", Test: "TestWordsOutliveRecords",
 	},
 	{
-		Name: "a word that comes while a request connects is not looked at", File: "internal/core/fleet/word.go",
-		Old: "if l.target.barred(now) {", New: "if false {",
+		Name: "feedback that arrives while a request connects is ignored", File: "internal/core/fleet/feedback.go",
+		Old: "if l.target.excluded(now) {", New: "if false {",
 		Package: "internal/core/forward", Test: "TestWordThatComesWhileConnecting",
 	},
 	{
-		Name: "all are sent to a replica that has just rested", File: "internal/core/fleet/word.go",
-		Old: "return t.word != nil && t.word.unproved && t.trial", New: "return false && t.trial",
+		Name: "more than one request probes a replica after its backoff", File: "internal/core/fleet/feedback.go",
+		Old: "return t.life != nil && t.life.unconfirmed && t.probing", New: "return false && t.probing",
 		Package: "internal/core/fleet", Test: "TestRestEndsWhenItWasSaidTo",
 	},
 	{
-		Name: "who waits is not told that all rest", File: "internal/core/fleet/word.go",
-		Old: "hopeless := now.Add(rest).After(x.wait.GiveUpAt)", New: "hopeless := false && now.Add(rest).After(x.wait.GiveUpAt)",
+		Name: "queued requests are not refused while all replicas back off", File: "internal/core/fleet/feedback.go",
+		Old: "hopeless := now.Add(wait).After(x.bounds.GiveUpAt)", New: "hopeless := false && now.Add(wait).After(x.bounds.GiveUpAt)",
 		Package: "internal/core/fleet", Test: "TestWhoWaitsForRestedReplicas",
 	},
 	{
@@ -83,8 +83,8 @@
 		Package: "internal/core/gateway", Test: "TestRestIsNotLostByALateHeartbeat", Says: "though it had asked for rest",
 	},
 	{
-		Name: "a copy's record of a gone life counts", File: "internal/core/fleet/word.go",
-		Old: "if r.Beat > 0 && r.Beat <= w.beat {", New: "if false {",
+		Name: "a restored record of an ended life counts", File: "internal/core/fleet/feedback.go",
+		Old: "if r.Beat > 0 && r.Beat <= state.lastBeat {", New: "if false {",
 		Package: "internal/core/gateway", Test: "TestReplicasAcrossADrill",
 	},
 	{
@@ -139,9 +139,9 @@
 		Package: "internal/core/gateway", Test: "TestLimitHoldsOverAllGateways", Says: "may come",
 	},
 	{
-		Name: "parts are kept over a change of life", File: "internal/core/fleet/word.go",
-		Old:     "\tx.word = t.words[x.replica.Life()]\n",
-		New:     "\tfor l, w := range t.words {\n\t\tif l.ID == x.replica.ID {\n\t\t\tx.word = w\n\t\t}\n\t}\n",
+		Name: "permits are kept for the next life", File: "internal/core/fleet/feedback.go",
+		Old:     "\tx.life = t.lives[x.replica.Life()]\n",
+		New:     "\tfor l, state := range t.lives {\n\t\tif l.ID == x.replica.ID {\n\t\t\tx.life = state\n\t\t}\n\t}\n",
 		Package: "internal/core/fleet", Test: "TestLimitIsOfTheLife", Says: "the next life is not chosen",
 	},
 	{
@@ -160,22 +160,22 @@
 		Package: "internal/core/quota", Test: "TestGrantsCountOnce",
 	},
 	{
-		Name: "an answer from before a limit ends it", File: "internal/core/fleet/limit.go",
-		Old: "sent.After(x.word.limit.as)", New: "true",
+		Name: "a response to a request from before a limit clears it", File: "internal/core/fleet/limit.go",
+		Old: "sent.After(x.life.limit.asOf)", New: "true",
 		Package: "internal/core/fleet", Test: "TestLimitEndsByLaterAnswersOnly",
 	},
 	{
-		Name: "a request that connects needs no permit", File: "internal/core/fleet/word.go",
-		Old: "return l.target.word.limit.part.Take(now)", New: "return l.target.word.limit.part.Take(now) || true",
+		Name: "a request that connects needs no permit", File: "internal/core/fleet/feedback.go",
+		Old: "return l.target.life.limit.permits.Take(now)", New: "return l.target.life.limit.permits.Take(now) || true",
 		Package: "internal/core/forward", Test: "TestWordThatComesWhileConnecting/limit",
 	},
 	{
-		Name: "what a replica says is told to nobody", File: "internal/core/fleet/limit.go", Old: "\t\t\tt.tell(told)\n", New: "",
+		Name: "a replica's feedback is not sent to other gateways", File: "internal/core/fleet/limit.go", Old: "\t\t\tt.queueNotice(notice)\n", New: "",
 		Package: "internal/core/fleet", Test: "TestReplicaThatTurnsAllAwayIsFoundOutOnce",
 	},
 	{
-		Name: "one gateway's rest is all gateways'", File: "internal/core/fleet/limit.go",
-		Old: "s.asked, s.first = true, told.By", New: "s.asked, s.all, s.first = true, true, told.By",
+		Name: "a backoff asked of one gateway binds all", File: "internal/core/fleet/limit.go",
+		Old: "s.active, s.firstGateway = true, notice.By", New: "s.active, s.multiple, s.firstGateway = true, true, notice.By",
 		Package: "internal/core/fleet", Test: "TestRestOfOneGatewayIsItsOwn",
 	},
 	{
@@ -187,17 +187,17 @@
 		Package: "internal/core/watch", Test: "TestOwnTroubleIsNotTheStores",
 	},
 	{
-		Name: "failures in a row end with the record", File: "internal/core/fleet/word.go", Old: "w.failures, w.until = x.failures, x.until", New: "w.failures = 0",
+		Name: "consecutive failures are forgotten with the record", File: "internal/core/fleet/feedback.go", Old: "state.failures, state.ejectedUntil = x.failures, x.ejectedUntil", New: "state.failures = 0",
 		Package: "internal/core/fleet", Test: "TestFailuresOutliveRecords",
 	},
 	{
-		Name: "the next life forgets what was heard since the last heartbeat", File: "internal/core/fleet/table.go",
-		Old: "\tt.inherit(added, now)\n", New: "",
+		Name: "the next life does not inherit feedback heard since the last heartbeat", File: "internal/core/fleet/table.go",
+		Old: "\tt.inheritFeedback(x, now)\n", New: "",
 		Package: "internal/core/fleet", Test: "TestWordOfALifeThatIsNotYetKnown",
 	},
 	{
-		Name: "the next life takes over whatever was heard", File: "internal/core/fleet/inherit.go",
-		Old: "since := w.beaten", New: "since := w.beaten.Add(-time.Hour)",
+		Name: "the next life inherits all feedback", File: "internal/core/fleet/inherit.go",
+		Old: "since := from.lastHeartbeat", New: "since := from.lastHeartbeat.Add(-time.Hour)",
 		Package: "internal/core/fleet", Test: "TestWordOfALifeThatIsNotYetKnown",
 	},
 	{
