--- a/internal/core/fleet/rest_test.go
+++ b/internal/core/fleet/backoff_test.go
@@ -12,25 +12,25 @@
 	"graniteknot.org/go/internal/core/quota"
 )
 
-// gateways are many before the same replicas, in virtual time: what one tells the others hear at the
-// next step, and the first is the home of all limits.
-type gateways struct {
+// gatewayFleet simulates gateways in front of the same replicas in virtual time. Notices
+// arrive with the next request, and the first gateway grants the permits of all limits.
+type gatewayFleet struct {
 	tables []*fleet.Table
 	home   quota.Home
 	now    time.Time
 	rng    *rand.Rand
-	// arrivals are the requests at each replica, by id.
+	// arrivals counts the requests at each replica, by ID.
 	arrivals map[string]int
 	refused  int
-	// times are when requests arrived at each; asked is how many of the gateways have requests, and
-	// every the time between two.
-	times map[string][]time.Time
-	asked int
-	every time.Duration
+	// arrivalTimes holds the times of these requests; active is how many of the gateways have
+	// requests, and interval the time between two.
+	arrivalTimes map[string][]time.Time
+	active       int
+	interval     time.Duration
 }
 
-func newGateways(n int, ids ...string) *gateways {
-	g := &gateways{now: time.Now(), rng: rand.New(rand.NewPCG(uint64(n), 3)), arrivals: map[string]int{}, times: map[string][]time.Time{}, asked: n, every: 10 * time.Millisecond}
+func newGatewayFleet(n int, ids ...string) *gatewayFleet {
+	g := &gatewayFleet{now: time.Now(), rng: rand.New(rand.NewPCG(uint64(n), 3)), arrivals: map[string]int{}, arrivalTimes: map[string][]time.Time{}, active: n, interval: 10 * time.Millisecond}
 	for i := range n {
 		table := &fleet.Table{}
 		for _, id := range ids {
@@ -42,11 +42,11 @@
 	return g
 }
 
-// step has a request come at one gateway; says is what the replica answers.
-func (g *gateways) step(says func(id string) fleet.Feedback) {
-	g.now = g.now.Add(g.every)
+// request sends one request through a random gateway; feedback is the replica's.
+func (g *gatewayFleet) request(says func(id string) fleet.Feedback) {
+	g.now = g.now.Add(g.interval)
 	g.deliver()
-	table := g.tables[g.rng.IntN(g.asked)]
+	table := g.tables[g.rng.IntN(g.active)]
 	l := table.Pick(&fleet.Query{Service: plain, Now: g.now})
 	if l == nil {
 		g.refused++
@@ -54,7 +54,7 @@
 	}
 	id := string(l.Replica.ID)
 	g.arrivals[id]++
-	g.times[id] = append(g.times[id], g.now)
+	g.arrivalTimes[id] = append(g.arrivalTimes[id], g.now)
 	w := says(id)
 	later := g.now.Add(3 * time.Millisecond)
 	if w.Answered {
@@ -64,7 +64,7 @@
 	l.End(fleet.VerdictGood, later)
 }
 
-func (g *gateways) deliver() {
+func (g *gatewayFleet) deliver() {
 	for i, from := range g.tables {
 		told, asks := from.DrainOutbox(g.now)
 		for j, to := range g.tables {
@@ -87,12 +87,13 @@
 	}
 }
 
-// TestReplicaThatTurnsAllAwayIsFoundOutOnce has one of three replicas refuse all and ask each
-// gateway for rest: two of them find that out for all, and after the rest one sees that it is over.
-func TestReplicaThatTurnsAllAwayIsFoundOutOnce(t *testing.T) {
+// TestSheddingReplicaIsDetectedOnceForAll has one of three replicas refuse all requests and
+// ask each gateway to back off: two gateways detect that for all, and after the backoff one
+// detects its end.
+func TestSheddingReplicaIsDetectedOnceForAll(t *testing.T) {
 	for _, n := range []int{7, 149} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			g := newGateways(n, "a", "b", "c")
+			g := newGatewayFleet(n, "a", "b", "c")
 			const rest = 3 * time.Second
 			sheds := func(id string) fleet.Feedback {
 				if id == "a" {
@@ -101,41 +102,41 @@
 				return fleet.Feedback{Answered: true, Unlimited: true}
 			}
 			for range 290 {
-				g.step(sheds)
+				g.request(sheds)
 			}
 			if got := g.arrivals["a"]; got > 3 {
-				t.Errorf("%d requests at a replica that turns all away", got)
+				t.Errorf("%d requests at a replica that refuses all", got)
 			}
 			answers := func(string) fleet.Feedback { return fleet.Feedback{Answered: true, Unlimited: true} }
 			for range 600 {
-				g.step(answers)
+				g.request(answers)
 			}
 			clear(g.arrivals)
 			for range 300 {
-				g.step(answers)
+				g.request(answers)
 			}
 			if g.arrivals["a"] < 50 || g.refused > 0 {
-				t.Errorf("after the rest: %v of 300, %d refused", g.arrivals, g.refused)
+				t.Errorf("after the backoff: %v of 300, %d refused", g.arrivals, g.refused)
 			}
 		})
 	}
 }
 
-// TestRestOfOneGatewayIsItsOwn has a replica turn one gateway away and answer the others: these
-// go on sending to it.
-func TestRestOfOneGatewayIsItsOwn(t *testing.T) {
-	g := newGateways(7, "a", "b")
+// TestBackoffOfOneGatewayDoesNotBindOthers has a replica refuse one gateway and answer the
+// others, which keep sending to it.
+func TestBackoffOfOneGatewayDoesNotBindOthers(t *testing.T) {
+	g := newGatewayFleet(7, "a", "b")
 	one := g.tables[3].Pick(&fleet.Query{Service: plain, Now: g.now})
 	for one.Replica.ID != "a" {
 		one = g.tables[3].Pick(&fleet.Query{Service: plain, Now: g.now})
 	}
 	one.ApplyFeedback(fleet.Feedback{Backoff: time.Minute}, g.now)
 	g.deliver()
-	if chosen(g.tables[5], g.now)["a"] == 0 {
-		t.Error("another gateway goes by it")
+	if countChoices(g.tables[5], g.now)["a"] == 0 {
+		t.Error("another gateway backs off too")
 	}
 	for range 300 {
-		g.step(func(string) fleet.Feedback { return fleet.Feedback{Answered: true, Unlimited: true} })
+		g.request(func(string) fleet.Feedback { return fleet.Feedback{Answered: true, Unlimited: true} })
 	}
 	if g.arrivals["a"] < 60 {
 		t.Errorf("%v of 300", g.arrivals)
@@ -145,48 +146,48 @@
 	}
 }
 
-// What the soak saw: a replica asked a gateway for 4 s of rest and got 47 requests from it in the
-// last 2 s of these. The order of events: it had ended and lived again under its id; its new life
-// turned a request away that was sent before its record was read; with the record it was
-// another life, which had said nothing. Which life answers shows in no answer. The evidence, from
-// the lines of one gateway: rest asked at 44.217 s, kept under the first life; at 44.364 s the
-// record of that one gone and that of the next read, in one page; requests from then on.
-
-// TestWordOfALifeThatIsNotYetKnown keeps what was heard since the former life's last heartbeat for
-// the next one, whose record is read later: rest and limits, which end by themselves. What was
-// heard before is the former life's, and so is a word on leaving.
-func TestWordOfALifeThatIsNotYetKnown(t *testing.T) {
+// TestFeedbackBeforeRecordOfNextLife checks that feedback heard since an ended life's last
+// heartbeat applies to the next life, whose record is read later: backoffs and limits, which
+// end by themselves. Earlier feedback and leaving marks stay with the ended life.
+//
+// It guards against a failure in a soak run: a replica that asked a gateway for 4 s of backoff
+// got 47 requests from it in the last 2 s of these. The replica had ended and started again
+// under its ID, and its new life refused a request before its record was read. A response
+// doesn't tell which life sent it, so the backoff, asked at 44.217 s, was kept under the first
+// life. At 44.364 s one page of records replaced that life by the next one, which had no
+// backoff.
+func TestFeedbackBeforeRecordOfNextLife(t *testing.T) {
 	for name, c := range map[string]struct {
 		word  fleet.Feedback
 		heard time.Duration
 		free  bool
 	}{
-		"rest, heard since":     {fleet.Feedback{Backoff: time.Minute}, 2 * time.Second, false},
-		"rest, heard before":    {fleet.Feedback{Backoff: time.Minute}, 500 * time.Millisecond, true},
-		"limit, heard since":    {named(0), 2 * time.Second, false},
-		"limit, heard before":   {named(0), 500 * time.Millisecond, true},
+		"backoff, heard since":  {fleet.Feedback{Backoff: time.Minute}, 2 * time.Second, false},
+		"backoff, heard before": {fleet.Feedback{Backoff: time.Minute}, 500 * time.Millisecond, true},
+		"limit, heard since":    {limitFeedback(0), 2 * time.Second, false},
+		"limit, heard before":   {limitFeedback(0), 500 * time.Millisecond, true},
 		"leaving, heard since":  {fleet.Feedback{Leaving: true}, 2 * time.Second, true},
 		"leaving, heard before": {fleet.Feedback{Leaving: true}, 500 * time.Millisecond, true},
 	} {
 		for _, vanishes := range []bool{false, true} {
-			t.Run(fmt.Sprint(name, ", the record vanishes ", vanishes), func(t *testing.T) { nextLife(t, c.word, c.heard, c.free, vanishes) })
+			t.Run(fmt.Sprint(name, ", the record vanishes ", vanishes), func(t *testing.T) { checkNextLife(t, c.word, c.heard, c.free, vanishes) })
 		}
 	}
 }
 
-func nextLife(t *testing.T, word fleet.Feedback, heard time.Duration, free, vanishes bool) {
+func checkNextLife(t *testing.T, word fleet.Feedback, heard time.Duration, free, vanishes bool) {
 	began := time.Now()
 	table := &fleet.Table{}
 	r := replica("a")
 	r.Written = 1
 	table.Put(r, began)
 	if heard < time.Second {
-		says(t, table, "a", word, began.Add(heard))
+		respond(t, table, "a", word, began.Add(heard))
 	}
 	r.Written = 2
 	table.Put(r, began.Add(time.Second))
 	if heard > time.Second {
-		says(t, table, "a", word, began.Add(heard))
+		respond(t, table, "a", word, began.Add(heard))
 	}
 	if vanishes {
 		table.Remove("a")
@@ -195,25 +196,26 @@
 	now := began.Add(3 * time.Second)
 	table.Put(r, now)
 	if got := table.Pick(&fleet.Query{Service: plain, Now: now}) != nil; got != free {
-		t.Errorf("the next life may be asked: %v", got)
+		t.Errorf("the next life is available: %v", got)
 	}
 }
 
-// TestCopiesRecordIsNoHeartbeat has the store show a record once more, at a later position, as
-// after its return from an older copy: what was heard before that is the next life's all the same.
-func TestCopiesRecordIsNoHeartbeat(t *testing.T) {
+// TestRestoredRecordIsNoHeartbeat has the store show a record again at a later position, as
+// when it is restored from an older copy: feedback heard before that still applies to the next
+// life.
+func TestRestoredRecordIsNoHeartbeat(t *testing.T) {
 	began := time.Now()
 	table := &fleet.Table{}
 	r := replica("a")
 	r.Written, r.Beat = 1, 5
 	table.Put(r, began)
-	says(t, table, "a", fleet.Feedback{Backoff: time.Minute}, began.Add(time.Second))
+	respond(t, table, "a", fleet.Feedback{Backoff: time.Minute}, began.Add(time.Second))
 	r.Written = graniteknot.PositionOf(1, 0)
 	table.Put(r, began.Add(2*time.Second))
 	r.Born, r.Written, r.Beat = 7, graniteknot.PositionOf(1, 9), 1
 	now := began.Add(3 * time.Second)
 	table.Put(r, now)
 	if table.Pick(&fleet.Query{Service: plain, Now: now}) != nil {
-		t.Error("the next life is asked though it wants rest")
+		t.Error("the next life was chosen during its backoff")
 	}
 }
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -23,8 +23,8 @@
 	return catalog.Replica{ID: id, Service: "s", Address: graniteknot.Address(id)}
 }
 
-// with returns a table of replicas that have been registered for long.
-func with(ids ...catalog.ReplicaID) *fleet.Table {
+// newTable returns a table of replicas registered an hour ago.
+func newTable(ids ...catalog.ReplicaID) *fleet.Table {
 	t := &fleet.Table{}
 	for _, id := range ids {
 		t.Put(replica(id), time.Now().Add(-time.Hour))
@@ -41,12 +41,12 @@
 	return l.Replica.ID
 }
 
-func TestDrainingIsNeverChosen(t *testing.T) {
-	table := with("a", "b")
+func TestDrainingReplicaIsNeverChosen(t *testing.T) {
+	table := newTable("a", "b")
 	leaving := replica("a")
 	leaving.Draining = true
 	table.Put(leaving, time.Now())
-	// A late heartbeat from before does not bring it back.
+	// A late heartbeat from before doesn't bring it back.
 	table.Put(replica("a"), time.Now())
 	for range 20 {
 		if got := pick(table); got != "b" {
@@ -54,32 +54,32 @@
 		}
 	}
 	if got := pick(table, catalog.Life{ID: "b"}); got != "" {
-		t.Errorf("chose %q when only the leaving one is left", got)
+		t.Errorf("chose %q when only the draining one is left", got)
 	}
 }
 
-// TestLapsedComesBackOrGoes keeps a replica whose record vanished while the
-// store was away until two seconds after the store's return.
-func TestLapsedComesBackOrGoes(t *testing.T) {
-	table := with("a", "b")
+// TestLapsedReplicaReturnsOrIsRemoved checks that a replica whose record vanished
+// while the store was away is kept until two seconds after the store's return.
+func TestLapsedReplicaReturnsOrIsRemoved(t *testing.T) {
+	table := newTable("a", "b")
 	start := time.Now()
 	table.MarkLapsed("a", start)
 	table.MarkLapsed("b", start)
 	back := start.Add(10 * time.Second)
 	if gone := table.RemoveLapsed(back, back.Add(1900*time.Millisecond)); len(gone) != 0 {
-		t.Fatalf("gone too early: %v", gone)
+		t.Fatalf("removed too early: %v", gone)
 	}
 	table.Put(replica("b"), back.Add(time.Second))
 	if gone := table.RemoveLapsed(back, back.Add(2*time.Second)); len(gone) != 1 || gone[0] != "a" {
-		t.Fatalf("gone: %v", gone)
+		t.Fatalf("removed: %v", gone)
 	}
 	if got := pick(table); got != "b" {
 		t.Errorf("chose %q", got)
 	}
 }
 
-func TestFailuresPauseAReplica(t *testing.T) {
-	table := with("a", "b")
+func TestConsecutiveFailuresEjectReplica(t *testing.T) {
+	table := newTable("a", "b")
 	now := time.Now()
 	for range 2 {
 		l := table.Pick(&fleet.Query{Service: plain, Tried: []catalog.Life{{ID: "b"}}, Now: now})
@@ -90,15 +90,15 @@
 			t.Fatalf("chose %q right after failures", got)
 		}
 	}
-	// One request at a time tries it again later.
+	// Later, one request at a time probes it.
 	later := now.Add(time.Minute)
 	query := &fleet.Query{Service: plain, Tried: []catalog.Life{{ID: "b"}}, Now: later}
 	trial := table.Pick(query)
 	if trial == nil || trial.Replica.ID != "a" {
-		t.Fatal("not tried again")
+		t.Fatal("the ejected replica was not probed")
 	}
 	if _, usable := table.Count("s", later); usable != 1 {
-		t.Errorf("%d usable while it is tried", usable)
+		t.Errorf("%d usable while it is probed", usable)
 	}
 	trial.End(fleet.VerdictGood, later)
 	if _, usable := table.Count("s", later); usable != 2 {
@@ -107,7 +107,7 @@
 }
 
 func TestLeastBusyEngineIsChosen(t *testing.T) {
-	table := with("a", "b", "c")
+	table := newTable("a", "b", "c")
 	now := time.Now()
 	table.Report("a", fleet.Load{Running: 3, Taken: now})
 	table.Report("b", fleet.Load{Running: 1, Taken: now})
@@ -116,19 +116,19 @@
 	if got.Replica.ID != "b" {
 		t.Errorf("chose %q", got.Replica.ID)
 	}
-	// Its own request counts at once, the old report does not count for ever.
+	// Its own request counts at once; an old report doesn't count forever.
 	if next := table.Pick(&fleet.Query{Service: engine, Now: now}); next.Replica.ID != "b" {
 		t.Errorf("chose %q for the second", next.Replica.ID)
 	}
 	if third := table.Pick(&fleet.Query{Service: engine, Now: now.Add(time.Hour)}); third.Replica.ID == "b" {
-		t.Error("an old report counts")
+		t.Error("an outdated report still counts")
 	}
 }
 
-// TestRoomFollowsThePass gives fewer requests to engines whose passes are long.
-func TestRoomFollowsThePass(t *testing.T) {
+// TestCapacityFollowsPassTime checks that engines with long passes get fewer requests.
+func TestCapacityFollowsPassTime(t *testing.T) {
 	taken := func(pass time.Duration, running int) int {
-		table := with("a")
+		table := newTable("a")
 		now := time.Now()
 		table.Report("a", fleet.Load{Running: running, Pass: pass, Taken: now})
 		n := 0
@@ -143,26 +143,26 @@
 		return n
 	}
 	if n := taken(0, 0); n != 4 {
-		t.Errorf("an idle engine took %d, has 4 slots", n)
+		t.Errorf("an idle engine got %d, has 4 slots", n)
 	}
 	if n := taken(40*time.Millisecond, 2); n != 2 {
-		t.Errorf("a fast engine took %d beside 2, has 4 slots", n)
+		t.Errorf("a fast engine got %d beside 2, has 4 slots", n)
 	}
 	if n := taken(50*time.Millisecond, 1); n != 1 {
-		t.Errorf("an engine whose passes nearly take the gap took %d beside 1", n)
+		t.Errorf("an engine whose passes nearly take the maximum gap got %d beside 1", n)
 	}
 	// Where no pause can be useful any more, many late answers are worth more
 	// than few.
 	if n := taken(400*time.Millisecond, 0); n != 4 {
-		t.Errorf("an engine that is too slow anyway took %d", n)
+		t.Errorf("an engine too slow for any gap got %d", n)
 	}
 }
 
-// TestQueueServesThoseInTime serves the more urgent first, then those who can
-// still be in time, and tells those who wait too long.
-func TestQueueServesThoseInTime(t *testing.T) {
+// TestQueueOrder checks that the more urgent are served first, then those that can
+// still be in time, and that a request that waits too long gives up.
+func TestQueueOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table := with("a")
+		table := newTable("a")
 		start := time.Now()
 		var held []*fleet.Lease
 		for range 4 {
@@ -204,10 +204,10 @@
 	})
 }
 
-// TestCrowdedGatewaysShare keeps each gateway to its part once nearly all room
-// is taken.
-func TestCrowdedGatewaysShare(t *testing.T) {
-	table := with("a", "b")
+// TestCrowdedGatewaysKeepToTheirShares checks that each gateway keeps to its share once
+// nearly all capacity is used.
+func TestCrowdedGatewaysKeepToTheirShares(t *testing.T) {
+	table := newTable("a", "b")
 	table.SetGateways(4)
 	now := time.Now()
 	table.Report("a", fleet.Load{Running: 3, Taken: now})
@@ -219,15 +219,15 @@
 		n++
 	}
 	if n != 2 {
-		t.Errorf("one of four gateways took %d of 8 places", n)
+		t.Errorf("one of four gateways took %d of 8 slots", n)
 	}
 }
 
-// TestClosedGroupGetsNothing waits while a group does not run, and goes on at
-// once when a report says that it does.
-func TestClosedGroupGetsNothing(t *testing.T) {
+// TestDownGroupGetsNoRequests checks that a request waits while a group is down and
+// proceeds as soon as a report says that it runs.
+func TestDownGroupGetsNoRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table := with("a")
+		table := newTable("a")
 		table.Report("a", fleet.Load{GroupDown: true, Taken: time.Now()})
 		var callers sync.WaitGroup
 		defer callers.Wait()
@@ -244,10 +244,10 @@
 	})
 }
 
-// TestSlowRankGetsLess keeps requests from a rank that tells it is slow, since
-// its whole group waits for it.
-func TestSlowRankGetsLess(t *testing.T) {
-	table := with("fast", "slow")
+// TestSlowRankGetsFewerRequests checks that a rank that reports to be slow gets fewer
+// requests, since its whole group waits for it.
+func TestSlowRankGetsFewerRequests(t *testing.T) {
+	table := newTable("fast", "slow")
 	now := time.Now()
 	table.Report("fast", fleet.Load{Pace: 1, Taken: now})
 	table.Report("slow", fleet.Load{Pace: 2, Taken: now})
@@ -260,13 +260,13 @@
 		}
 	}
 	if got["fast"] != 4 || got["slow"] != 2 {
-		t.Errorf("%v of 4 slots each, one at half the pace", got)
+		t.Errorf("%v of 4 slots each, one at half the speed", got)
 	}
 }
 
-// TestNewEngineWaitsForItsReport sends nothing to an engine that was just
-// registered until its sidecar tells that it runs, or is taken to have none.
-func TestNewEngineWaitsForItsReport(t *testing.T) {
+// TestNewEngineWaitsForFirstReport checks that a newly registered engine gets no requests
+// until its sidecar reports that it runs, or it is taken to have no sidecar.
+func TestNewEngineWaitsForFirstReport(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	now := time.Now()
@@ -279,12 +279,12 @@
 		t.Error("a new engine got a request before its report")
 	}
 	if !acquire(table, now.Add(2*time.Second)) {
-		t.Error("an engine without a sidecar gets nothing")
+		t.Error("an engine without a sidecar got no request")
 	}
 	table = &fleet.Table{}
 	table.Put(replica("a"), now)
 	table.Report("a", fleet.Load{Taken: now})
 	if !acquire(table, now) {
-		t.Error("an engine that runs gets nothing")
+		t.Error("a running engine got no request")
 	}
 }
--- a/internal/core/fleet/forecast_test.go
+++ b/internal/core/fleet/forecast_test.go
@@ -8,9 +8,9 @@
 	"graniteknot.org/go/internal/core/fleet"
 )
 
-// TestNewestForecast believes the newest forecast of a group, whichever sidecar passes
-// it on, and of each group its own.
-func TestNewestForecast(t *testing.T) {
+// TestNewestForecastWins checks that a group's newest forecast is used, whichever
+// sidecar relays it, and each group's own.
+func TestNewestForecastWins(t *testing.T) {
 	now := time.Now()
 	table := &fleet.Table{}
 	put := func(id, group string, skew float64, number uint64) {
@@ -26,7 +26,7 @@
 	for skew, others := range map[float64][]catalog.Life{1.2: {{ID: "d"}}, 1.5: {{ID: "a"}, {ID: "b"}, {ID: "c"}}} {
 		lease := table.Pick(&fleet.Query{Service: grouped, MaxGap: usefulGap, Now: now, Tried: others})
 		if lease == nil || lease.Inputs.Skew != skew {
-			t.Errorf("want skew %v: %+v", skew, lease)
+			t.Errorf("want skew %v, got lease %+v", skew, lease)
 		}
 	}
 }
--- a/internal/core/fleet/group_test.go
+++ b/internal/core/fleet/group_test.go
@@ -8,8 +8,9 @@
 	"graniteknot.org/go/internal/core/fleet"
 )
 
-// groups returns a table of groups of four engines each, which show different things.
-func groups(now time.Time, loads ...fleet.Load) *fleet.Table {
+// newGroupsTable returns a table of groups of four engines; all engines of a group
+// report the same load.
+func newGroupsTable(now time.Time, loads ...fleet.Load) *fleet.Table {
 	t := &fleet.Table{}
 	for g, l := range loads {
 		for i := range 4 {
@@ -23,10 +24,10 @@
 	return t
 }
 
-// TestGroupsDoNotBindEachOther gives each group of a service as many requests as its own
-// passes bear: one under an uneven map, one that does not run and one that loads experts
-// keep nothing from the others.
-func TestGroupsDoNotBindEachOther(t *testing.T) {
+// TestGroupCapacitiesAreIndependent checks that each group of a service gets as many
+// requests as its own passes allow: one with an uneven map or one that is down doesn't
+// restrict the others.
+func TestGroupCapacitiesAreIndependent(t *testing.T) {
 	now := time.Now()
 	even := fleet.Load{Forecast: fleet.Forecast{Skew: 1, Number: 1}}
 	uneven := fleet.Load{Forecast: fleet.Forecast{Skew: 5, Number: 1}}
@@ -34,22 +35,22 @@
 		loads []fleet.Load
 		want  int
 	}{
-		"both even":       {[]fleet.Load{even, even}, 2 * 4 * 12},
-		"one uneven":      {[]fleet.Load{even, uneven}, 4*12 + 4*4 + 1},
-		"one closed":      {[]fleet.Load{even, {GroupDown: true}}, 4 * 12},
-		"all three apart": {[]fleet.Load{even, uneven, {GroupDown: true}}, 4*12 + 4*4 + 1},
+		"both even":             {[]fleet.Load{even, even}, 2 * 4 * 12},
+		"one uneven":            {[]fleet.Load{even, uneven}, 4*12 + 4*4 + 1},
+		"one down":              {[]fleet.Load{even, {GroupDown: true}}, 4 * 12},
+		"even, uneven and down": {[]fleet.Load{even, uneven, {GroupDown: true}}, 4*12 + 4*4 + 1},
 	} {
-		if got := taken(groups(now, x.loads...), 0, now); got != x.want {
+		if got := countAccepted(newGroupsTable(now, x.loads...), 0, now); got != x.want {
 			t.Errorf("%s: %d requests, want %d", name, got, x.want)
 		}
 	}
 }
 
-// TestGroupsPassesAreEvened sends fewer requests to the group whose work takes longer, so
-// that the passes of both take as long.
-func TestGroupsPassesAreEvened(t *testing.T) {
+// TestPassTimesAreBalancedBetweenGroups checks that the group whose work takes longer
+// gets fewer requests, so that passes take equally long in both.
+func TestPassTimesAreBalancedBetweenGroups(t *testing.T) {
 	now := time.Now()
-	table := groups(now, fleet.Load{Forecast: fleet.Forecast{Skew: 1, Number: 1}}, fleet.Load{Forecast: fleet.Forecast{Skew: 3, Number: 1}})
+	table := newGroupsTable(now, fleet.Load{Forecast: fleet.Forecast{Skew: 1, Number: 1}}, fleet.Load{Forecast: fleet.Forecast{Skew: 3, Number: 1}})
 	sent := map[string]int{}
 	for range 40 {
 		l := table.Pick(&fleet.Query{Service: grouped, MaxGap: usefulGap, Now: now})
@@ -57,6 +58,6 @@
 	}
 	// The work of the second takes 0.15 + 0.85 * 3 = 2.7 times as long.
 	if sent["B"] == 0 || sent["A"] < 2*sent["B"] || sent["A"] > 4*sent["B"] {
-		t.Errorf("%d and %d requests", sent["A"], sent["B"])
+		t.Errorf("%d requests to the even group, %d to the uneven one", sent["A"], sent["B"])
 	}
 }
--- a/internal/core/fleet/life_test.go
+++ b/internal/core/fleet/life_test.go
@@ -9,29 +9,29 @@
 	"graniteknot.org/go/internal/core/fleet"
 )
 
-// lived is a record of a life at the address "a".
-func lived(id catalog.ReplicaID, at int64) catalog.Replica {
+// record returns the record of a life at the address "a".
+func record(id catalog.ReplicaID, at int64) catalog.Replica {
 	r := replica(id)
 	r.Address, r.Service = "a", "s"
 	r.Written = graniteknot.Position(at)
 	return r
 }
 
-// TestReportsSpeakForTheirLife has the sidecar at an address tell of a life whose record
-// is yet to be read, as after a loss of power: the former one there gets no request,
-// whether its record was read before or after the sidecar told, and the records are read
-// soon. The new one gets requests as soon as its record is there.
-func TestReportsSpeakForTheirLife(t *testing.T) {
+// TestReportOfNewLifeSupersedesOldRecord has the sidecar at an address report a life
+// whose record hasn't been read yet, as after a power loss. The old life there gets no
+// requests, whether its record was read before or after that report, and the records are
+// read soon. The new life gets requests once its record is there.
+func TestReportOfNewLifeSupersedesOldRecord(t *testing.T) {
 	start := time.Now()
 	told := fleet.Load{Life: catalog.Life{ID: "new"}.Mark(), Taken: start}
 	for name, order := range map[string][]func(*fleet.Table){
 		"record first": {
-			func(x *fleet.Table) { x.Put(lived("old", 1), start.Add(-time.Second)) },
+			func(x *fleet.Table) { x.Put(record("old", 1), start.Add(-time.Second)) },
 			func(x *fleet.Table) { x.Report("a", told) },
 		},
 		"sidecar first": {
 			func(x *fleet.Table) { x.Report("a", told) },
-			func(x *fleet.Table) { x.Put(lived("old", 1), start.Add(100*time.Millisecond)) },
+			func(x *fleet.Table) { x.Put(record("old", 1), start.Add(100*time.Millisecond)) },
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -44,60 +44,60 @@
 				t.Errorf("a request was sent to %q, which has ended", l.Replica.ID)
 			}
 			if !table.RecordsStale(now) {
-				t.Error("the records are not read soon")
+				t.Error("the records do not count as stale")
 			}
-			table.Put(lived("new", 2), now)
+			table.Put(record("new", 2), now)
 			l := table.Pick(&fleet.Query{Service: engine, Now: now})
 			if l == nil || l.Replica.ID != "new" {
-				t.Errorf("the new life got nothing: %v", l)
+				t.Errorf("the new life got no request: %v", l)
 			}
 			if table.RecordsStale(now) {
-				t.Error("the records are still read soon")
+				t.Error("the records still count as stale")
 			}
 		})
 	}
 }
 
-// TestHeartbeatsOutweighAStaleSidecar has a sidecar that did not notice its replica's
-// end: the next life gets requests from its first heartbeat on.
-func TestHeartbeatsOutweighAStaleSidecar(t *testing.T) {
+// TestHeartbeatsOverrideStaleSidecar has a sidecar that missed its replica's end: the next
+// life still gets requests after its first heartbeat.
+func TestHeartbeatsOverrideStaleSidecar(t *testing.T) {
 	start := time.Now()
 	table := &fleet.Table{}
 	table.Report("a", fleet.Load{Life: catalog.Life{ID: "old"}.Mark(), Taken: start})
-	table.Put(lived("new", 5), start.Add(time.Second))
-	table.Put(lived("new", 6), start.Add(2*time.Second))
+	table.Put(record("new", 5), start.Add(time.Second))
+	table.Put(record("new", 6), start.Add(2*time.Second))
 	now := start.Add(2100 * time.Millisecond)
 	table.Report("a", fleet.Load{Life: catalog.Life{ID: "old"}.Mark(), Taken: now})
 	if l := table.Pick(&fleet.Query{Service: engine, Now: now}); l == nil {
-		t.Error("a replica whose heartbeats come got nothing")
+		t.Error("a replica with recent heartbeats got no request")
 	}
 }
 
-// TestLivesWithoutMarks takes reports of sidecars that know no life as before.
-func TestLivesWithoutMarks(t *testing.T) {
+// TestReportWithoutLifeMark checks that a report without a life mark supersedes nothing.
+func TestReportWithoutLifeMark(t *testing.T) {
 	now := time.Now()
 	table := &fleet.Table{}
-	table.Put(lived("x", 1), now)
+	table.Put(record("x", 1), now)
 	table.Report("a", fleet.Load{Taken: now})
 	if l := table.Pick(&fleet.Query{Service: engine, Now: now}); l == nil || table.RecordsStale(now) {
-		t.Error("a report without a mark counts against its replica")
+		t.Error("a report without a life mark supersedes its replica")
 	}
 }
 
-// reborn is a record of a life of the replica "x" at the address "a".
-func reborn(born graniteknot.Born, at int64) catalog.Replica {
-	r := lived("x", at)
+// recordBornAt returns the record of a life of the replica "x" at the address "a".
+func recordBornAt(born graniteknot.Born, at int64) catalog.Replica {
+	r := record("x", at)
 	r.Born = born
 	return r
 }
 
-// TestNextLifeUnderTheSameID knows nothing of the former one: neither that it was leaving,
-// nor its failures, nor that it was tried. What the former one had is made elsewhere, and a
-// late record of it changes nothing.
-func TestNextLifeUnderTheSameID(t *testing.T) {
+// TestNextLifeWithSameID checks that a life starts without the state of the previous one
+// with its ID: its draining, its failures and that it was tried. The old life's requests
+// are rerouted, and a late record of it changes nothing.
+func TestNextLifeWithSameID(t *testing.T) {
 	now := time.Now()
 	table := &fleet.Table{}
-	former := reborn(100, 1)
+	former := recordBornAt(100, 1)
 	table.Put(former, now)
 	query := &fleet.Query{Service: plain, Now: now}
 	for range 4 {
@@ -109,14 +109,14 @@
 	former.Draining, former.Written = true, 2
 	table.Put(former, now)
 	before := table.Digest()
-	if !table.Put(reborn(90, 3), now) {
-		t.Error("the next life was taken for a heartbeat")
+	if !table.Put(recordBornAt(90, 3), now) {
+		t.Error("the next life was treated as a heartbeat")
 	}
 	if table.Digest() == before {
-		t.Error("the digest does not tell the lives apart")
+		t.Error("the digest is the same for both lives")
 	}
-	if table.Put(reborn(100, 2), now) {
-		t.Error("a late record of the former life was taken")
+	if table.Put(recordBornAt(100, 2), now) {
+		t.Error("a late record of the previous life was accepted")
 	}
 	tried := &fleet.Query{Service: plain, Now: now, Tried: []catalog.Life{former.Life()}}
 	l := table.Pick(tried)
@@ -128,44 +128,44 @@
 		s.Reroute()
 	}
 	if moved != 1 {
-		t.Errorf("the request at the former life was moved %d times", moved)
+		t.Errorf("the request at the previous life was rerouted %d times", moved)
 	}
 	held.End(fleet.VerdictBad, now)
 	if l := table.Pick(query); l == nil || l.Inputs.Own != 1 {
-		t.Errorf("the end of a request at the former life counts for the next: %+v", l)
+		t.Errorf("the end of a request at the previous life counts for the next: %+v", l)
 	}
 }
 
-// TestSidecarsTellLivesOfTheSameID apart: until the record of the one that is there now is
-// read, nothing is sent to it as if it were the former.
-func TestSidecarsTellLivesOfTheSameID(t *testing.T) {
+// TestSidecarReportsNextLifeWithSameID checks that a life gets no requests under the record
+// of the previous one with its ID; it gets them once its own record is read.
+func TestSidecarReportsNextLifeWithSameID(t *testing.T) {
 	now := time.Now()
 	table := &fleet.Table{}
-	table.Put(reborn(100, 1), now)
-	next := reborn(50, 2)
+	table.Put(recordBornAt(100, 1), now)
+	next := recordBornAt(50, 2)
 	table.Report("a", fleet.Load{Life: next.Life().Mark(), Taken: now.Add(time.Second)})
 	later := now.Add(1100 * time.Millisecond)
 	if l := table.Pick(&fleet.Query{Service: engine, Now: later}); l != nil {
 		t.Errorf("a request was sent to %v, which has ended", l.Replica.Life())
 	}
 	if !table.RecordsStale(later) {
-		t.Error("the records are not read soon")
+		t.Error("the records do not count as stale")
 	}
 	table.Put(next, later)
 	if l := table.Pick(&fleet.Query{Service: engine, Now: later}); l == nil || l.Replica.Born != 50 {
-		t.Errorf("the next life got nothing: %+v", l)
+		t.Errorf("the next life got no request: %+v", l)
 	}
 }
 
-// TestLateHeartbeatsOfALifeThatHasEnded has a heartbeat read late that was written before the sidecar
-// told of the next life: the former one gets nothing for it.
-func TestLateHeartbeatsOfALifeThatHasEnded(t *testing.T) {
+// TestLateHeartbeatOfEndedLife checks that a life gets no requests for a heartbeat that was
+// written before the sidecar reported the next life, but read after that.
+func TestLateHeartbeatOfEndedLife(t *testing.T) {
 	start := time.Now()
 	table := &fleet.Table{}
-	table.Put(lived("old", 1), start.Add(-time.Second))
+	table.Put(record("old", 1), start.Add(-time.Second))
 	table.Report("a", fleet.Load{Life: catalog.Life{ID: "new"}.Mark(), Taken: start})
 	now := start.Add(time.Second)
-	table.PutSince(lived("old", 2), start.Add(-500*time.Millisecond), now)
+	table.PutSince(record("old", 2), start.Add(-500*time.Millisecond), now)
 	if l := table.Pick(&fleet.Query{Service: engine, Now: now}); l != nil {
 		t.Errorf("a request was sent to %q, which has ended", l.Replica.ID)
 	}
--- a/internal/core/fleet/limit_test.go
+++ b/internal/core/fleet/limit_test.go
@@ -10,49 +10,50 @@
 	"graniteknot.org/go/internal/core/quota"
 )
 
-func named(rate quota.Rate) fleet.Feedback {
+func limitFeedback(rate quota.Rate) fleet.Feedback {
 	return fleet.Feedback{Limit: quota.Word{Named: true, Rate: rate}}
 }
 
-// TestLimitEndsByLaterAnswersOnly has answers pass one another: one without a limit whose
-// request was sent before the limit was named ends nothing, a later one does, for all.
-func TestLimitEndsByLaterAnswersOnly(t *testing.T) {
+// TestOnlyLaterResponsesClearLimit has responses overtake one another: one without a limit
+// clears the limit only if its request was sent after the limit was announced, and then in
+// all gateways.
+func TestOnlyLaterResponsesClearLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table := with("a")
+		table := newTable("a")
 		table.NotifyOutbox(1, func() {})
 		now := time.Now()
 		first := table.Pick(&fleet.Query{Service: plain, Now: now})
 		second := table.Pick(&fleet.Query{Service: plain, Now: now})
-		if !first.ApplyFeedback(named(2), now) || first.ApplyFeedback(named(2), now) {
-			t.Error("only the first word of a limit is new")
+		if !first.ApplyFeedback(limitFeedback(2), now) || first.ApplyFeedback(limitFeedback(2), now) {
+			t.Error("only the first announcement of a limit is a change")
 		}
 		told, _ := table.DrainOutbox(now)
 		if len(told) != 1 || !told[0].Holds || told[0].Rate != 2 {
-			t.Errorf("told %+v", told)
+			t.Errorf("notices %+v", told)
 		}
 		if second.ApplyFeedback(fleet.Feedback{Unlimited: true}, now.Add(time.Millisecond)) || len(table.Limits(now)) != 1 {
-			t.Error("an answer from before the limit was named ends it")
+			t.Error("a response to a request sent before the limit was announced clears it")
 		}
 		life := first.Replica.Life()
 		if table.ApplyNotice(&quota.Told{Key: quota.KeyOf(life), Age: 50}, now.Add(10*time.Millisecond)) {
-			t.Error("what another process heard before ends it")
+			t.Error("an older notice clears it")
 		}
 		if !table.ApplyNotice(&quota.Told{Key: quota.KeyOf(life), Age: 5}, now.Add(10*time.Millisecond)) || len(table.Limits(now)) != 0 {
-			t.Error("what another process heard later does not end it")
+			t.Error("a newer notice does not clear it")
 		}
 	})
 }
 
-// TestLimitIsOfTheLife ends with the life, which wrote its record once more since it named the
-// limit: the next one under the same id has none.
-func TestLimitIsOfTheLife(t *testing.T) {
+// TestLimitBelongsToLife checks that a limit ends with its life, which had a heartbeat since
+// it announced the limit: the next life with the same ID is unlimited.
+func TestLimitBelongsToLife(t *testing.T) {
 	now := time.Now()
-	table := with("a")
+	table := newTable("a")
 	l := table.Pick(&fleet.Query{Service: plain, Now: now})
-	l.ApplyFeedback(named(0), now)
+	l.ApplyFeedback(limitFeedback(0), now)
 	l.End(fleet.VerdictGood, now)
 	if table.Pick(&fleet.Query{Service: plain, Now: now}) != nil {
-		t.Error("a replica that takes nothing is chosen")
+		t.Error("a replica with limit 0 was chosen")
 	}
 	next := l.Replica
 	next.Written++
@@ -68,17 +69,17 @@
 	table.Put(catalog.Replica{ID: "b", Service: "s", Address: "b"}, now)
 	table.Remove("b")
 	if table.ApplyNotice(&quota.Told{Key: quota.KeyOf(catalog.Life{ID: "b"}), Holds: true, Rate: 1}, now); len(table.Limits(now)) != 2 {
-		t.Error("the limit of a life whose record is gone is forgotten")
+		t.Error("the limit of a life without a record was dropped")
 	}
 }
 
-// TestPermitsLapse gives a table that asks nobody its own permits, at the rate, which it does not
-// save up.
-func TestPermitsLapse(t *testing.T) {
+// TestPermitsExpire checks that a table that grants its own permits does so at the limit's
+// rate and saves none up.
+func TestPermitsExpire(t *testing.T) {
 	began := time.Now()
-	table := with("a")
+	table := newTable("a")
 	l := table.Pick(&fleet.Query{Service: plain, Now: began})
-	l.ApplyFeedback(named(1), began)
+	l.ApplyFeedback(limitFeedback(1), began)
 	sent := 0
 	for at := time.Duration(0); at < 20*time.Second; at += 20 * time.Millisecond {
 		if at > 8*time.Second && at < 12*time.Second {
--- a/internal/core/fleet/used_test.go
+++ b/internal/core/fleet/limit_use_test.go
@@ -9,9 +9,9 @@
 	"graniteknot.org/go/internal/core/quota"
 )
 
-// TestLimitsAreUsed plays, in virtual time, gateways before replicas of which some name a limit: no
-// replica gets more than it may in any 4 s, most of each limit is used where more is asked, and
-// nobody is refused while a replica without a limit has room.
+// TestLimitsAreUsed simulates gateways in front of replicas of which some have a limit: no
+// replica gets more than it may in any 4 s, most of each limit is used where demand exceeds
+// it, and no request is refused while a replica without a limit has capacity.
 func TestLimitsAreUsed(t *testing.T) {
 	for _, c := range []struct {
 		gateways, asked, replicas int
@@ -34,35 +34,35 @@
 					limits[id] = c.limits[i]
 				}
 			}
-			g := newGateways(c.gateways, ids...)
-			g.asked, g.every = c.asked, c.every
+			g := newGatewayFleet(c.gateways, ids...)
+			g.active, g.interval = c.asked, c.every
 			began := g.now
 			const lasting, settled, window = 40 * time.Second, 2 * time.Second, 4 * time.Second
 			for g.now.Sub(began) < lasting {
-				g.step(func(id string) fleet.Feedback {
+				g.request(func(id string) fleet.Feedback {
 					rate, named := limits[id]
 					return fleet.Feedback{Answered: true, Unlimited: !named, Limit: quota.Word{Named: named, Rate: rate}}
 				})
 			}
 			for id, rate := range limits {
-				times := g.times[id]
-				if most, may := worstIn(times, began.Add(settled), window), 1.5*float64(rate)*window.Seconds()+5; float64(most) > may {
-					t.Errorf("%s, %g a second: %d in %v, %g may come", id, rate, most, window, may)
+				times := g.arrivalTimes[id]
+				if most, may := maxInWindow(times, began.Add(settled), window), 1.5*float64(rate)*window.Seconds()+5; float64(most) > may {
+					t.Errorf("%s, limit %g a second: %d requests in %v, at most %g allowed", id, rate, most, window, may)
 				}
 				used := float64(len(times)) / float64(rate) / lasting.Seconds()
 				if used < c.least {
-					t.Errorf("%s, %g a second: %.2f used, of %g", id, rate, used, c.least)
+					t.Errorf("%s, limit %g a second: share %.2f used, want %g", id, rate, used, c.least)
 				}
 			}
 			if g.refused > 0 && len(c.limits) < c.replicas {
-				t.Errorf("%d refused while others have room", g.refused)
+				t.Errorf("%d refused while other replicas have capacity", g.refused)
 			}
 		})
 	}
 }
 
-// worstIn returns the most times in any window from a time on.
-func worstIn(times []time.Time, from time.Time, window time.Duration) int {
+// maxInWindow returns the largest number of times in any window that begins at from or later.
+func maxInWindow(times []time.Time, from time.Time, window time.Duration) int {
 	most, first := 0, 0
 	for i, at := range times {
 		for at.Sub(times[first]) >= window || times[first].Before(from) && first < i {
--- a/internal/core/fleet/limited_group_test.go
+++ b/internal/core/fleet/limited_group_test.go
@@ -12,9 +12,10 @@
 	"graniteknot.org/go/internal/core/quota"
 )
 
-// limitedGroup is a group of four engines, all idle under an even map, some of which name a limit.
-func limitedGroup(limited int, rate quota.Rate, now time.Time) *fleet.Table {
-	table := group(4, fleet.Load{Running: 2, Pass: 30 * time.Millisecond, Forecast: fleet.Forecast{Skew: 2.2, Number: 1}}, now)
+// newLimitedGroup returns a table of a group of four engines with equal loads, some of them
+// with a limit.
+func newLimitedGroup(limited int, rate quota.Rate, now time.Time) *fleet.Table {
+	table := newGroupTable(4, fleet.Load{Running: 2, Pass: 30 * time.Millisecond, Forecast: fleet.Forecast{Skew: 2.2, Number: 1}}, now)
 	for i := range limited {
 		life := catalog.Life{ID: catalog.ReplicaID(rune('a' + i))}
 		table.ApplyNotice(&quota.Told{Key: quota.KeyOf(life), Holds: true, Rate: rate}, now)
@@ -22,22 +23,23 @@
 	return table
 }
 
-// TestLimitedRanksLeaveTheGroupsRoom has two of four ranks take nothing: the others get what the
-// group bears, as far as they have slots.
-func TestLimitedRanksLeaveTheGroupsRoom(t *testing.T) {
+// TestLimitedRanksKeepGroupCapacity has two of four ranks accept nothing: the others get what
+// the whole group has capacity for, up to their slots.
+func TestLimitedRanksKeepGroupCapacity(t *testing.T) {
 	now := time.Now()
-	all := taken(limitedGroup(0, 0, now), 1, now)
-	two := taken(limitedGroup(2, 0, now), 1, now)
+	all := countAccepted(newLimitedGroup(0, 0, now), 1, now)
+	two := countAccepted(newLimitedGroup(2, 0, now), 1, now)
 	if want := min(all, 2*(grouped.Engine.Slots-2)); two != want {
-		t.Errorf("%d requests with two limited ranks, %d without, %d wanted", two, all, want)
+		t.Errorf("%d requests with two limited ranks, %d without, want %d", two, all, want)
 	}
 }
 
-// TestGroupOfLimitedRanks has all four ranks take 2 a second while 40 a second come: most of what
-// they take is used, and whoever gets no permit in time is told at once.
+// TestGroupOfLimitedRanks has all four ranks accept 2 requests a second while 40 a second
+// arrive: most of the permits are used, and requests without a permit in time are refused at
+// once.
 func TestGroupOfLimitedRanks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table := limitedGroup(4, 2, time.Now())
+		table := newLimitedGroup(4, 2, time.Now())
 		var mu sync.Mutex
 		var wait sync.WaitGroup
 		served, late, refused, told, longest := 0, 0, 0, 0, time.Duration(0)
@@ -50,7 +52,7 @@
 			}
 			table.Sweep(time.Now())
 			if n >= come {
-				// Who waits is still looked after.
+				// Queued requests are still served.
 				time.Sleep(25 * time.Millisecond)
 				continue
 			}
@@ -79,7 +81,7 @@
 		}
 		wait.Wait()
 		if served < 60 || served > 80 || late > 0 || longest > 100*time.Millisecond {
-			t.Errorf("%d of 80 served, %d of them late; told after %v at the longest", served, late, longest)
+			t.Errorf("%d of 80 served, %d of them late; longest wait of a refused one %v", served, late, longest)
 		}
 		if 2*told <= refused {
 			t.Errorf("%d of %d refused within %v", told, refused, atOnce)
--- a/internal/core/fleet/room_test.go
+++ b/internal/core/fleet/pass_model_test.go
@@ -13,19 +13,19 @@
 	"graniteknot.org/go/internal/core/fleet"
 )
 
-// grouped is an engine whose ranks share the work of experts: a pass takes 20 ms, and
-// 4 ms more for each request that writes, were all work even.
+// grouped is a service whose ranks share the work of experts: a pass takes 20 ms, and
+// 4 ms more for each decoding request, in nominal time.
 var grouped = &catalog.Service{Name: "s", Engine: &catalog.Engine{
 	Slots: 12, Step: 5 * time.Millisecond, PerWriter: time.Millisecond, Stride: 4, Chunk: 512, ReadRate: 50_000,
 	Usual:   catalog.Size{Prompt: 800, Answer: 96},
 	Experts: &catalog.Experts{Sets: 3, Experts: 96, Places: 11, Fraction: 0.85},
 }}
 
-// usefulGap is the longest useful pause of the routes to it.
+// usefulGap is the longest useful pause of its routes.
 const usefulGap = 120 * time.Millisecond
 
-// group returns a table of engines that all show the same.
-func group(engines int, l fleet.Load, now time.Time) *fleet.Table {
+// newGroupTable returns a table of engines that all report the same load.
+func newGroupTable(engines int, l fleet.Load, now time.Time) *fleet.Table {
 	t := &fleet.Table{}
 	for i := range engines {
 		id := catalog.ReplicaID(rune('a' + i))
@@ -36,8 +36,8 @@
 	return t
 }
 
-// taken counts the requests that are sent at once.
-func taken(t *fleet.Table, prompt graniteknot.Tokens, now time.Time) int {
+// countAccepted counts the requests that are sent at once.
+func countAccepted(t *fleet.Table, prompt graniteknot.Tokens, now time.Time) int {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	n := 0
@@ -50,12 +50,12 @@
 	return n
 }
 
-// TestRoomFollowsTheSkew gives a group as many requests as keep its passes within
-// the longest useful pause at the skew that its keeper tells.
-func TestRoomFollowsTheSkew(t *testing.T) {
+// TestCapacityFollowsSkew checks that a group gets as many requests as keep its passes
+// within the longest useful pause at its keeper's forecast of the skew.
+func TestCapacityFollowsSkew(t *testing.T) {
 	now := time.Now()
 	for skew, want := range map[float64]int{
-		// A request asks for 4 ms of writing and 16 ms / 24 of reading in each pass:
+		// A request takes 4 ms of decoding and 16 ms / 24 of prefill in each pass:
 		// (108 ms - 20 ms) / 4.67 ms is more than the slots.
 		1: 4 * 12,
 		// The work takes 0.15 + 0.85 * 3 = 2.7 times as long: 88 ms / 2.7 / 4.67 ms = 6.98.
@@ -63,48 +63,48 @@
 		// 0.15 + 0.85 * 5 = 4.4 times: 4.28.
 		5: 4*4 + 1,
 	} {
-		table := group(4, fleet.Load{Forecast: fleet.Forecast{Skew: skew}}, now)
-		if got := taken(table, 0, now); got != want {
+		table := newGroupTable(4, fleet.Load{Forecast: fleet.Forecast{Skew: skew}}, now)
+		if got := countAccepted(table, 0, now); got != want {
 			t.Errorf("skew %v: %d requests, want %d", skew, got, want)
 		}
 	}
-	loading := group(4, fleet.Load{Forecast: fleet.Forecast{Skew: 3, Loading: true}}, now)
-	if got := taken(loading, 0, now); got >= 27 {
-		t.Errorf("%d requests while ranks load experts, as many as otherwise", got)
+	loading := newGroupTable(4, fleet.Load{Forecast: fleet.Forecast{Skew: 3, Loading: true}}, now)
+	if got := countAccepted(loading, 0, now); got >= 27 {
+		t.Errorf("%d requests while ranks load experts, not fewer than otherwise", got)
 	}
 }
 
-// TestNewGroupGetsFew sends a group of which nothing is known, as after all boxes
-// lost power, only what shows how long its passes take: each gateway its part.
-func TestNewGroupGetsFew(t *testing.T) {
+// TestNewGroupGetsFewRequests checks that a group of which nothing is known, as after all
+// boxes lost power, gets only enough requests to show its pass times, shared among gateways.
+func TestNewGroupGetsFewRequests(t *testing.T) {
 	now := time.Now()
-	table := group(12, fleet.Load{}, now)
+	table := newGroupTable(12, fleet.Load{}, now)
 	table.SetGateways(6)
-	if got := taken(table, 800, now); got != 4 {
+	if got := countAccepted(table, 800, now); got != 4 {
 		t.Errorf("one of six gateways sent %d requests to 12 engines, want 4 of 24", got)
 	}
 }
 
-// TestReadingIsBounded keeps the prompts that are read in one pass from making it
-// too long: 0.15 + 0.85 * 3 = 2.7, so 88 ms / 2.7 = 32.6 ms of reading at each of 12
-// engines fit into a pass beside no writers; that is 19,600 tokens.
-func TestReadingIsBounded(t *testing.T) {
+// TestPrefillIsBounded checks that the prompts read in one pass don't make it too long:
+// 0.15 + 0.85 * 3 = 2.7, so 88 ms / 2.7 = 32.6 ms of prefill at each of 12 engines fit
+// into a pass without decoding requests; that is 19,600 tokens.
+func TestPrefillIsBounded(t *testing.T) {
 	now := time.Now()
-	table := group(12, fleet.Load{Forecast: fleet.Forecast{Skew: 3}}, now)
-	got := taken(table, 2000, now)
+	table := newGroupTable(12, fleet.Load{Forecast: fleet.Forecast{Skew: 3}}, now)
+	got := countAccepted(table, 2000, now)
 	if got < 9 || got > 11 {
 		t.Errorf("%d prompts of 2,000 tokens at once", got)
 	}
-	if more := taken(table, 2000, now.Add(60*time.Millisecond)); more < 2 || more > 6 {
+	if more := countAccepted(table, 2000, now.Add(60*time.Millisecond)); more < 2 || more > 6 {
 		t.Errorf("%d more half a pass later", more)
 	}
 }
 
-// TestHopelessIsToldAtOnce lets those wait who can be in time, and tells the others
-// on arrival, when many more come than the engines answer.
-func TestHopelessIsToldAtOnce(t *testing.T) {
+// TestHopelessRequestsAreRefusedAtOnce checks that requests that can be in time are queued
+// and others refused on arrival, when many more arrive than the engines can answer.
+func TestHopelessRequestsAreRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table := group(2, fleet.Load{Forecast: fleet.Forecast{Skew: 3}}, time.Now())
+		table := newGroupTable(2, fleet.Load{Forecast: fleet.Forecast{Skew: 3}}, time.Now())
 		const (
 			perSecond = 50
 			aim       = 500 * time.Millisecond
@@ -138,7 +138,7 @@
 		}
 		callers.Wait()
 		if served.Load() < 25 || atOnce.Load() < 100 || held.Load() > served.Load()/3 {
-			t.Errorf("%d served, %d told at once, %d held and then refused", served.Load(), atOnce.Load(), held.Load())
+			t.Errorf("%d served, %d refused at once, %d refused after a wait", served.Load(), atOnce.Load(), held.Load())
 		}
 	})
 }
--- a/internal/core/fleet/pick_bench_test.go
+++ b/internal/core/fleet/pick_bench_test.go
@@ -10,8 +10,8 @@
 	"graniteknot.org/go/internal/core/fleet"
 )
 
-// many returns a table of replicas that report, with nothing else known.
-func many(n int, now time.Time) *fleet.Table {
+// newReportingTable returns a table of replicas that have reported, without groups.
+func newReportingTable(n int, now time.Time) *fleet.Table {
 	t := &fleet.Table{}
 	for i := range n {
 		id := catalog.ReplicaID(fmt.Sprint("r", i))
@@ -21,12 +21,12 @@
 	return t
 }
 
-// BenchmarkChoice chooses among 72 engines that have room, and gives the place back. Eight runs
-// each, in turn with a build that knows no words, on a busy machine: at least 69.2 and 65.0 us,
+// BenchmarkAcquire acquires and releases a slot among 72 engines with capacity. Eight runs
+// each, in turn with a build without feedback, on a busy machine: at least 69.2 and 65.0 us,
 // medians 76.8 and 74.0.
-func BenchmarkChoice(b *testing.B) {
+func BenchmarkAcquire(b *testing.B) {
 	now := time.Now()
-	table := many(72, now)
+	table := newReportingTable(72, now)
 	ctx := context.Background()
 	for b.Loop() {
 		q := &fleet.Query{Service: grouped, MaxGap: usefulGap, Size: catalog.Size{Prompt: 1}, Now: now, RequestedAt: now}
--- a/internal/core/fleet/records_test.go
+++ b/internal/core/fleet/records_test.go
@@ -9,9 +9,9 @@
 	"graniteknot.org/go/internal/core/fleet"
 )
 
-// TestReplacedReplicaIsNotChosen takes a replica for ended whose address another
-// one has, in whichever order their records come, until that one is gone.
-func TestReplacedReplicaIsNotChosen(t *testing.T) {
+// TestReplicaWithReusedAddressIsNotChosen checks that a replica whose address another one
+// uses counts as ended, in whichever order their records arrive, until that one is gone.
+func TestReplicaWithReusedAddressIsNotChosen(t *testing.T) {
 	record := func(id catalog.ReplicaID, at graniteknot.Position) catalog.Replica {
 		return catalog.Replica{ID: id, Service: "s", Address: "a", Written: at}
 	}
@@ -31,8 +31,7 @@
 		if got := pick(table, catalog.Life{ID: "new"}); got != "" {
 			t.Errorf("chose %q", got)
 		}
-		// A heartbeat of the ended life that comes late, and the next one of the
-		// other.
+		// A late heartbeat of the ended replica, and the next one of the other.
 		table.Put(record("old", 10), time.Now())
 		table.Put(record("new", 12), time.Now())
 		if got := pick(table, catalog.Life{ID: "new"}); got != "" {
@@ -45,27 +44,27 @@
 	}
 }
 
-// TestDigestTellsStatesApart is the same for the same replicas in any order, and
-// differs by each replica and its word that it leaves, but not by heartbeats.
-func TestDigestTellsStatesApart(t *testing.T) {
-	same := with("a", "b").Digest()
-	if got := with("b", "a").Digest(); got != same {
-		t.Error("the order matters")
+// TestDigest checks that the digest doesn't depend on the order of replicas or on heartbeats,
+// but on each replica and on whether it is draining.
+func TestDigest(t *testing.T) {
+	same := newTable("a", "b").Digest()
+	if got := newTable("b", "a").Digest(); got != same {
+		t.Error("the digest depends on the order")
 	}
-	beating := with("a", "b")
+	beating := newTable("a", "b")
 	beat := replica("a")
 	beat.Written = 9
 	beating.Put(beat, time.Now())
 	if beating.Digest() != same {
-		t.Error("a heartbeat matters")
+		t.Error("the digest depends on heartbeats")
 	}
-	leaving := with("a", "b")
+	leaving := newTable("a", "b")
 	word := replica("a")
 	word.Draining = true
 	leaving.Put(word, time.Now())
-	for what, other := range map[string]*fleet.Table{"leaving": leaving, "less": with("a"), "more": with("a", "b", "c")} {
+	for what, other := range map[string]*fleet.Table{"draining": leaving, "less": newTable("a"), "more": newTable("a", "b", "c")} {
 		if other.Digest() == same {
-			t.Errorf("no difference: %s", what)
+			t.Errorf("%s: the digest is the same", what)
 		}
 	}
 }
--- a/internal/core/fleet/opening_test.go
+++ b/internal/core/fleet/recovery_test.go
@@ -10,20 +10,20 @@
 	"graniteknot.org/go/internal/core/fleet"
 )
 
-// show has all of some engines tell the same now.
-func show(t *fleet.Table, engines int, l fleet.Load) {
+// reportAll has all of some engines report the same load now.
+func reportAll(t *fleet.Table, engines int, l fleet.Load) {
 	l.Taken = time.Now()
 	for i := range engines {
 		t.Report(replica(catalog.ReplicaID(rune('a'+i))).Address, l)
 	}
 }
 
-// TestOverloadServesThoseInTime has a group that runs, and has run, get more than it bears:
-// who comes back waits behind those who can be in time.
-func TestOverloadServesThoseInTime(t *testing.T) {
+// TestRetriesQueueBehindRequestsInTime overloads a group that has been running: a retry
+// queues behind requests that can be in time.
+func TestRetriesQueueBehindRequestsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		running := fleet.Load{Forecast: fleet.Forecast{Skew: 3, Number: 1}}
-		table := group(2, running, time.Now())
+		table := newGroupTable(2, running, time.Now())
 		now := time.Now()
 		hold := []*fleet.Lease{}
 		for {
@@ -54,33 +54,33 @@
 			synctest.Wait()
 		}
 		if first := <-served; first {
-			t.Error("one that comes back went before one that can be in time")
+			t.Error("a retry was served before a request that can be in time")
 		}
 	})
 }
 
-// TestGroupsThatStayClosedAreNotWaitedFor holds callers while a group may be about to open,
-// and tells them at once that it does not run when it has not for long.
-func TestGroupsThatStayClosedAreNotWaitedFor(t *testing.T) {
+// TestNoWaitForLongDownGroup checks that requests wait for a group that may be about to come
+// up, and are refused at once when it has been down for long.
+func TestNoWaitForLongDownGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table := group(4, fleet.Load{GroupDown: true}, time.Now())
+		table := newGroupTable(4, fleet.Load{GroupDown: true}, time.Now())
 		held := func() time.Duration {
 			now := time.Now()
 			q := &fleet.Query{Service: grouped, MaxGap: usefulGap, Now: now, RequestedAt: now}
 			if l := table.Acquire(t.Context(), q, fleet.WaitBounds{FirstEventBy: now.Add(500 * time.Millisecond), GiveUpAt: now.Add(1500 * time.Millisecond)}); l != nil {
-				t.Error("served by a group that does not run")
+				t.Error("served by a group that is down")
 			}
 			return time.Since(now)
 		}
 		if got := held(); got < time.Second {
-			t.Errorf("held %v for a group that may open", got)
+			t.Errorf("waited %v for a group that may come up", got)
 		}
 		for range 50 {
 			time.Sleep(100 * time.Millisecond)
-			show(table, 4, fleet.Load{GroupDown: true})
+			reportAll(table, 4, fleet.Load{GroupDown: true})
 		}
 		if got := held(); got != 0 {
-			t.Errorf("held %v for a group that has been closed for over six seconds", got)
+			t.Errorf("waited %v for a group that has been down for over six seconds", got)
 		}
 	})
 }
--- a/internal/core/fleet/spread_test.go
+++ b/internal/core/fleet/sample_test.go
@@ -9,13 +9,13 @@
 	"graniteknot.org/go/internal/core/fleet"
 )
 
-// TestGatewaysDoNotCrowdOneEngine has many gateways choose between two reports,
-// of which one engine's shows the least: without a spread all would choose that.
+// TestGatewaysDoNotCrowdOneEngine has many gateways choose between two reports, when one
+// engine reports the least load: without sampling all would choose that one.
 func TestGatewaysDoNotCrowdOneEngine(t *testing.T) {
 	const (
 		gateways = 40
 		engines  = 63
-		// most is far above what choices at random among two give, and far below
+		// most is far above what random choices of the better of two give, and far below
 		// the number of gateways.
 		most = 12
 	)
@@ -29,7 +29,7 @@
 			table.Put(replica(id), now.Add(-time.Hour))
 			table.Report(replica(id).Address, fleet.Load{Running: min(i, 1), Taken: now})
 		}
-		// Some requests of before, ended since, tell the rate.
+		// A few requests, ended since, set the rate.
 		for range 3 {
 			acquireAt(t, table, now).End(fleet.VerdictGood, now)
 		}
@@ -42,10 +42,10 @@
 	}
 }
 
-// TestQuietGatewaysCompareAll finds the least busy engine when nobody else sends
-// requests between two reports.
-func TestQuietGatewaysCompareAll(t *testing.T) {
-	table := with("a", "b", "c", "d", "e", "f")
+// TestIdleGatewaysCompareAllEngines checks that the least busy engine is found when no
+// other gateway sends requests between two reports.
+func TestIdleGatewaysCompareAllEngines(t *testing.T) {
+	table := newTable("a", "b", "c", "d", "e", "f")
 	table.SetGateways(1)
 	now := time.Now()
 	for _, id := range []catalog.ReplicaID{"a", "b", "c", "d", "f"} {
--- a/internal/core/fleet/silence_test.go
+++ b/internal/core/fleet/silence_test.go
@@ -8,23 +8,22 @@
 	"graniteknot.org/go/internal/core/fleet"
 )
 
-// acquireAt returns a lease that is to be had at once, or nil.
+// acquireAt returns a lease that is available at once, or nil.
 func acquireAt(t *testing.T, table *fleet.Table, now time.Time) *fleet.Lease {
 	t.Helper()
 	return table.Acquire(t.Context(), &fleet.Query{Service: engine, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now})
 }
 
-// TestSilentReplicaGetsNothing keeps requests from a replica that neither its
-// sidecar nor its own answers show to be reachable, and has those moved that are
-// there.
-func TestSilentReplicaGetsNothing(t *testing.T) {
-	table := with("a", "b")
+// TestSilentReplicaGetsNoRequests checks that a replica heard neither through its sidecar
+// nor by its responses gets no requests, and that its requests are rerouted.
+func TestSilentReplicaGetsNoRequests(t *testing.T) {
+	table := newTable("a", "b")
 	now := time.Now()
 	table.Report("a", fleet.Load{Taken: now})
 	table.Report("b", fleet.Load{Taken: now, Running: 3})
 	stuck := acquireAt(t, table, now)
 	if stuck == nil || stuck.Replica.ID != "a" {
-		t.Fatal("the idle one was not chosen")
+		t.Fatal("the idle replica was not chosen")
 	}
 	moved := false
 	stuck.OnReroute(func() { moved = true })
@@ -32,11 +31,11 @@
 	table.Report("b", fleet.Load{Taken: now, Running: 3})
 	changed, found := table.Sweep(now)
 	if len(changed) != 1 || changed[0].Replica != "a" || !changed[0].Silent || len(found) != 1 {
-		t.Fatalf("%+v, %d to be moved", changed, len(found))
+		t.Fatalf("%+v, %d to be rerouted", changed, len(found))
 	}
 	found[0].Reroute()
 	if !moved {
-		t.Error("the request was not moved")
+		t.Error("the request was not rerouted")
 	}
 	if l := acquireAt(t, table, now); l == nil || l.Replica.ID != "b" {
 		t.Error("a silent replica was chosen")
@@ -52,10 +51,10 @@
 	}
 }
 
-// TestAnswersAreSignsOfLife keeps a replica in use whose sidecar alone is gone,
-// and tries one now and then that nobody hears of.
-func TestAnswersAreSignsOfLife(t *testing.T) {
-	table := with("a", "b")
+// TestResponsesKeepReplicaInUse checks that a replica whose sidecar alone is gone stays in
+// use, and that one that isn't heard at all is probed now and then.
+func TestResponsesKeepReplicaInUse(t *testing.T) {
+	table := newTable("a", "b")
 	now := time.Now()
 	table.Report("a", fleet.Load{Taken: now})
 	table.Report("b", fleet.Load{Taken: now, Running: 3})
@@ -64,7 +63,7 @@
 	l.RecordResponse(now)
 	table.Report("b", fleet.Load{Taken: now, Running: 3})
 	if changed, _ := table.Sweep(now); len(changed) != 0 {
-		t.Fatalf("%+v of a replica that answers", changed)
+		t.Fatalf("%+v of a replica that responds", changed)
 	}
 	l.End(fleet.VerdictGood, now)
 	silentFor := 0
@@ -83,14 +82,14 @@
 		got.End(fleet.VerdictNone, now)
 	}
 	if trials < 2 || trials > 6 {
-		t.Errorf("a silent replica was tried %d times in over four seconds", trials)
+		t.Errorf("a silent replica was probed %d times in over four seconds", trials)
 	}
 }
 
-// TestOwnSilenceTellsNothing blames no replica when none is heard: then it is
-// this process that is cut off or stood still.
-func TestOwnSilenceTellsNothing(t *testing.T) {
-	table := with("a", "b")
+// TestCutOffGatewayBlamesNoReplica checks that no replica counts as silent when none is
+// heard: then this process is cut off or was stopped.
+func TestCutOffGatewayBlamesNoReplica(t *testing.T) {
+	table := newTable("a", "b")
 	now := time.Now()
 	for _, id := range []catalog.ReplicaID{"a", "b"} {
 		table.Report(replica(id).Address, fleet.Load{Taken: now})
@@ -100,19 +99,19 @@
 	}
 }
 
-// TestStreamsLeaveACripplingRank moves requests away from a rank that is so slow that
-// a single one there makes the passes of its whole group too long, and sends it none.
-// One that is a little slow keeps its own.
-func TestStreamsLeaveACripplingRank(t *testing.T) {
+// TestStreamsLeaveStraggler checks that requests are rerouted from a rank so slow that a
+// single one there makes its whole group's passes too long, and that it gets none. A
+// slightly slow rank keeps its requests.
+func TestStreamsLeaveStraggler(t *testing.T) {
 	for pace, crippling := range map[float64]bool{1.5: false, 12: true} {
 		now := time.Now()
-		table := group(3, fleet.Load{Running: 2, Forecast: fleet.Forecast{Skew: 1.5}}, now)
+		table := newGroupTable(3, fleet.Load{Running: 2, Forecast: fleet.Forecast{Skew: 1.5}}, now)
 		ids := map[catalog.ReplicaID]*fleet.Lease{}
 		moved := 0
 		for len(ids) < 3 {
 			l := table.Acquire(t.Context(), &fleet.Query{Service: grouped, MaxGap: usefulGap, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now})
 			if l == nil {
-				t.Fatal("no room")
+				t.Fatal("no free slot")
 			}
 			l.OnReroute(func() { moved++ })
 			ids[l.Replica.ID] = l
@@ -128,27 +127,27 @@
 		_, stuck := table.Sweep(now)
 		for _, l := range stuck {
 			if l.Replica.ID != "c" {
-				t.Errorf("one at %s is moved", l.Replica.ID)
+				t.Errorf("a request at %s is rerouted", l.Replica.ID)
 			}
 			l.Reroute()
 		}
 		if (moved > 0) != crippling {
-			t.Errorf("pace %v: %d moved", pace, moved)
+			t.Errorf("pace %v: %d rerouted", pace, moved)
 		}
 		for range 10 {
 			l := table.Acquire(t.Context(), &fleet.Query{Service: grouped, MaxGap: usefulGap, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now})
 			if l != nil && l.Replica.ID == "c" && crippling {
-				t.Fatal("a rank that makes all passes too long gets a request")
+				t.Fatal("a straggler that makes all passes too long got a request")
 			}
 		}
 	}
 }
 
-// TestOwnStreamsShowTheWay takes a replica for cut off whose reports still come through
-// another gateway, once an own stream there gets nothing while others do; and does not
-// while no stream gets anything, as when the whole group stands.
-func TestOwnStreamsShowTheWay(t *testing.T) {
-	table := with("a", "b")
+// TestStalledStreamShowsUnreachableReplica checks that a replica whose reports still arrive
+// through another gateway counts as unreachable once an own stream there stalls while others
+// proceed, but not while all streams stall, as when the whole group stops.
+func TestStalledStreamShowsUnreachableReplica(t *testing.T) {
+	table := newTable("a", "b")
 	now := time.Now()
 	report := func() {
 		table.Report("a", fleet.Load{Taken: now, Relayed: true})
@@ -165,13 +164,13 @@
 		now = now.Add(100 * time.Millisecond)
 		report()
 		if changed, _ := table.Sweep(now); len(changed) != 0 {
-			t.Fatalf("%+v while the group stands", changed)
+			t.Fatalf("%+v while the whole group stalls", changed)
 		}
 	}
 	first.OnReroute(func() {})
 	second.RecordResponse(now)
 	changed, stuck := table.Sweep(now)
 	if len(changed) != 1 || changed[0].Replica != first.Replica.ID || !changed[0].Silent || len(stuck) != 1 {
-		t.Errorf("%+v, %d to be moved", changed, len(stuck))
+		t.Errorf("%+v, %d to be rerouted", changed, len(stuck))
 	}
 }
--- /dev/null
+++ b/internal/core/fleet/simulation_test.go
@@ -0,0 +1,132 @@
+package fleet_test
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"testing"
+	"time"
+
+	graniteknot "graniteknot.org/go"
+	"graniteknot.org/go/catalog"
+	"graniteknot.org/go/internal/core/fleet"
+)
+
+// simService is the service of the simulations, with the engine of a deployment of 72 in
+// groups of 24.
+var simService = &catalog.Service{Name: "s", Engine: &catalog.Engine{
+	Slots: 10, Step: 4550 * time.Microsecond, PerWriter: 1090 * time.Microsecond, Stride: 5, Chunk: 512, ReadRate: 61_400,
+	Usual:   catalog.Size{Prompt: 868, Answer: 97},
+	Experts: &catalog.Experts{Sets: 16, Experts: 96, Places: 5, Fraction: 0.85, Form: 600 * time.Millisecond},
+}}
+
+const (
+	simFirstEventTarget = 500 * time.Millisecond
+	simMaxGap           = 150 * time.Millisecond
+	simPatience         = 2 * time.Second
+	// reportPeriod and reportDelay are those of relayed reports.
+	reportPeriod = 240 * time.Millisecond
+	reportDelay  = 150 * time.Millisecond
+)
+
+// simulation runs groups of engines, gateways in front of them and callers in virtual
+// time. The gateways choose with real tables; all else is simulated.
+type simulation struct {
+	t        *testing.T
+	ctx      context.Context
+	gateways []*fleet.Table
+	groups   []*simGroup
+	// skew is that of all groups at a time since the start; groups are down until
+	// startsAt.
+	skew     func(time.Duration) float64
+	startsAt time.Duration
+	began    time.Time
+
+	mu      sync.Mutex
+	result  callerStats
+	callers sync.WaitGroup
+}
+
+// callerStats counts what callers got.
+type callerStats struct {
+	callers, inTime, late, lost int
+	// refusedLate were refused after they had waited for over 50 ms.
+	refusedLate int
+	// lateByQueue, lateByFirstEvent and lateByPause are why responses to first tries
+	// were late: the wait in the queue alone, that and the first event, or a pause alone.
+	lateByQueue, lateByFirstEvent, lateByPause int
+	// longPasses are those of all passes that took longer than the longest useful pause.
+	longPasses, passes int
+}
+
+// newSimulation returns a simulation of gateways in front of groups of ranks.
+func newSimulation(t *testing.T, gateways, groups, ranks int) *simulation {
+	t.Helper()
+	p := &simulation{t: t, ctx: t.Context(), began: time.Now()}
+	for range gateways {
+		table := &fleet.Table{}
+		table.SetGateways(gateways)
+		p.gateways = append(p.gateways, table)
+	}
+	for g := range groups {
+		group := &simGroup{name: fmt.Sprint("g", g)}
+		for r := range ranks {
+			id := fmt.Sprintf("%d-%d", g, r)
+			x := &simRank{replica: catalog.Replica{ID: catalog.ReplicaID(id), Service: "s", Address: graniteknot.Address(id), Group: group.name}}
+			group.ranks = append(group.ranks, x)
+			for _, table := range p.gateways {
+				table.Put(x.replica, p.began)
+			}
+		}
+		p.groups = append(p.groups, group)
+	}
+	return p
+}
+
+// simulate runs the groups and their reports for a time, and waits for all callers.
+func (p *simulation) simulate(length time.Duration) callerStats {
+	ctx, cancel := context.WithCancel(p.ctx)
+	var world sync.WaitGroup
+	for _, g := range p.groups {
+		world.Go(func() { p.runPasses(ctx, g) })
+		world.Go(func() { p.sendReports(ctx, g) })
+	}
+	time.Sleep(length)
+	p.callers.Wait()
+	cancel()
+	world.Wait()
+	return p.result
+}
+
+func (p *simulation) running() bool { return time.Since(p.began) >= p.startsAt }
+
+// sendReports reports the ranks' loads to all gateways with a delay.
+func (p *simulation) sendReports(ctx context.Context, g *simGroup) {
+	number := uint64(0)
+	for ctx.Err() == nil {
+		number++
+		taken := time.Now()
+		g.mu.Lock()
+		pass := g.pass
+		g.mu.Unlock()
+		var loads []fleet.Load
+		for _, r := range g.ranks {
+			l := fleet.Load{Taken: taken, GroupDown: !p.running(), Pass: pass}
+			r.mu.Lock()
+			l.Running = min(len(r.running), simService.Engine.Slots)
+			l.Waiting = len(r.running) - l.Running
+			r.mu.Unlock()
+			if p.running() && time.Since(p.began) > p.startsAt+450*time.Millisecond {
+				l.Forecast = fleet.Forecast{Skew: p.skew(time.Since(p.began)), Number: number}
+			}
+			loads = append(loads, l)
+		}
+		time.Sleep(reportDelay)
+		for i, r := range g.ranks {
+			for _, table := range p.gateways {
+				table.Report(r.replica.Address, loads[i])
+			}
+		}
+		time.Sleep(reportPeriod - reportDelay)
+	}
+}
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -55,12 +55,12 @@
 	{
 		Name: "a replica that is backing off is chosen", File: "internal/core/fleet/feedback.go",
 		Old: "return t.life != nil && now.Before(t.life.backoffUntil)", New: "return false && now.IsZero()",
-		Package: "internal/core/fleet", Test: "TestRestEndsWhenItWasSaidTo",
+		Package: "internal/core/fleet", Test: "TestBackoffLastsAsRequested",
 	},
 	{
 		Name: "feedback is lost with the record", File: "internal/core/fleet/feedback.go",
 		Old: "\tx.life = t.lives[x.replica.Life()]\n", New: "",
-		Package: "internal/core/fleet", Test: "TestWordsOutliveRecords",
+		Package: "internal/core/fleet", Test: "TestFeedbackOutlivesRecords",
 	},
 	{
 		Name: "feedback that arrives while a request connects is ignored", File: "internal/core/fleet/feedback.go",
@@ -70,12 +70,12 @@
 	{
 		Name: "more than one request probes a replica after its backoff", File: "internal/core/fleet/feedback.go",
 		Old: "return t.life != nil && t.life.unconfirmed && t.probing", New: "return false && t.probing",
-		Package: "internal/core/fleet", Test: "TestRestEndsWhenItWasSaidTo",
+		Package: "internal/core/fleet", Test: "TestBackoffLastsAsRequested",
 	},
 	{
 		Name: "queued requests are not refused while all replicas back off", File: "internal/core/fleet/feedback.go",
 		Old: "hopeless := now.Add(wait).After(x.bounds.GiveUpAt)", New: "hopeless := false && now.Add(wait).After(x.bounds.GiveUpAt)",
-		Package: "internal/core/fleet", Test: "TestWhoWaitsForRestedReplicas",
+		Package: "internal/core/fleet", Test: "TestQueueDuringBackoff",
 	},
 	{
 		Name: "a heartbeat is as new as its reading", File: "internal/core/gateway/follow.go",
@@ -142,7 +142,7 @@
 		Name: "permits are kept for the next life", File: "internal/core/fleet/feedback.go",
 		Old:     "\tx.life = t.lives[x.replica.Life()]\n",
 		New:     "\tfor l, state := range t.lives {\n\t\tif l.ID == x.replica.ID {\n\t\t\tx.life = state\n\t\t}\n\t}\n",
-		Package: "internal/core/fleet", Test: "TestLimitIsOfTheLife", Says: "the next life is not chosen",
+		Package: "internal/core/fleet", Test: "TestLimitBelongsToLife", Says: "the next life is not chosen",
 	},
 	{
 		Name: "boxes that have ended keep their parts", File: "internal/core/quota/home.go",
@@ -162,7 +162,7 @@
 	{
 		Name: "a response to a request from before a limit clears it", File: "internal/core/fleet/limit.go",
 		Old: "sent.After(x.life.limit.asOf)", New: "true",
-		Package: "internal/core/fleet", Test: "TestLimitEndsByLaterAnswersOnly",
+		Package: "internal/core/fleet", Test: "TestOnlyLaterResponsesClearLimit",
 	},
 	{
 		Name: "a request that connects needs no permit", File: "internal/core/fleet/feedback.go",
@@ -171,12 +171,12 @@
 	},
 	{
 		Name: "a replica's feedback is not sent to other gateways", File: "internal/core/fleet/limit.go", Old: "\t\t\tt.queueNotice(notice)\n", New: "",
-		Package: "internal/core/fleet", Test: "TestReplicaThatTurnsAllAwayIsFoundOutOnce",
+		Package: "internal/core/fleet", Test: "TestSheddingReplicaIsDetectedOnceForAll",
 	},
 	{
 		Name: "a backoff asked of one gateway binds all", File: "internal/core/fleet/limit.go",
 		Old: "s.active, s.firstGateway = true, notice.By", New: "s.active, s.multiple, s.firstGateway = true, true, notice.By",
-		Package: "internal/core/fleet", Test: "TestRestOfOneGatewayIsItsOwn",
+		Package: "internal/core/fleet", Test: "TestBackoffOfOneGatewayDoesNotBindOthers",
 	},
 	{
 		Name: "one's own trouble with the store is taken for all", File: "internal/core/watch/health.go", Old: "< within && !own", New: "< within || own && !own",
@@ -193,12 +193,12 @@
 	{
 		Name: "the next life does not inherit feedback heard since the last heartbeat", File: "internal/core/fleet/table.go",
 		Old: "\tt.inheritFeedback(x, now)\n", New: "",
-		Package: "internal/core/fleet", Test: "TestWordOfALifeThatIsNotYetKnown",
+		Package: "internal/core/fleet", Test: "TestFeedbackBeforeRecordOfNextLife",
 	},
 	{
 		Name: "the next life inherits all feedback", File: "internal/core/fleet/inherit.go",
 		Old: "since := from.lastHeartbeat", New: "since := from.lastHeartbeat.Add(-time.Hour)",
-		Package: "internal/core/fleet", Test: "TestWordOfALifeThatIsNotYetKnown",
+		Package: "internal/core/fleet", Test: "TestFeedbackBeforeRecordOfNextLife",
 	},
 	{
 		Name: "a gateway that has lost the store reads for others", File: "internal/core/readers/readers.go",
