--- a/internal/core/fleet/backoff_test.go
+++ b/internal/core/fleet/backoff_test.go
@@ -15,10 +15,10 @@
 // gatewayFleet simulates gateways in front of the same replicas in virtual time. Notices
 // arrive with the next request, and the first gateway grants the permits of all limits.
 type gatewayFleet struct {
-	tables []*fleet.Table
-	home   quota.Home
-	now    time.Time
-	rng    *rand.Rand
+	tables  []*fleet.Table
+	granter quota.Home
+	now     time.Time
+	rng     *rand.Rand
 	// arrivals counts the requests at each replica, by ID.
 	arrivals map[string]int
 	refused  int
@@ -43,11 +43,11 @@
 }
 
 // request sends one request through a random gateway; feedback is the replica's.
-func (g *gatewayFleet) request(says func(id string) fleet.Feedback) {
+func (g *gatewayFleet) request(feedback func(id string) fleet.Feedback) {
 	g.now = g.now.Add(g.interval)
 	g.deliver()
 	table := g.tables[g.rng.IntN(g.active)]
-	l := table.Pick(&fleet.Query{Service: plain, Now: g.now})
+	l := table.Pick(&fleet.Query{Service: plainService, Now: g.now})
 	if l == nil {
 		g.refused++
 		return
@@ -55,33 +55,33 @@
 	id := string(l.Replica.ID)
 	g.arrivals[id]++
 	g.arrivalTimes[id] = append(g.arrivalTimes[id], g.now)
-	w := says(id)
+	f := feedback(id)
 	later := g.now.Add(3 * time.Millisecond)
-	if w.Answered {
+	if f.Answered {
 		l.RecordResponse(later)
 	}
-	l.ApplyFeedback(w, later)
+	l.ApplyFeedback(f, later)
 	l.End(fleet.VerdictGood, later)
 }
 
 func (g *gatewayFleet) deliver() {
 	for i, from := range g.tables {
-		told, asks := from.DrainOutbox(g.now)
+		notices, requests := from.DrainOutbox(g.now)
 		for j, to := range g.tables {
-			for k := range told {
+			for k := range notices {
 				if i != j {
-					to.ApplyNotice(&told[k], g.now)
+					to.ApplyNotice(&notices[k], g.now)
 				}
 			}
 		}
-		for k := range asks {
-			a := &asks[k]
-			rate, limited, known := g.tables[0].LimitOf(a.Key.Life(), g.now)
-			grant := quota.Grant{Key: a.Key}
+		for k := range requests {
+			request := &requests[k]
+			rate, limited, known := g.tables[0].LimitOf(request.Key.Life(), g.now)
+			grant := quota.Grant{Key: request.Key}
 			if limited {
-				grant = g.home.Deal(g.now, a.Key.Life(), rate, "box", a.Want)
+				grant = g.granter.Deal(g.now, request.Key.Life(), rate, "box", request.Want)
 			}
-			grant.Number, grant.Told = a.Number, known
+			grant.Number, grant.Told = request.Number, known
 			from.ApplyGrant(&grant, g.now)
 		}
 	}
@@ -94,10 +94,10 @@
 	for _, n := range []int{7, 149} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			g := newGatewayFleet(n, "a", "b", "c")
-			const rest = 3 * time.Second
+			const backoff = 3 * time.Second
 			sheds := func(id string) fleet.Feedback {
 				if id == "a" {
-					return fleet.Feedback{Backoff: rest}
+					return fleet.Feedback{Backoff: backoff}
 				}
 				return fleet.Feedback{Answered: true, Unlimited: true}
 			}
@@ -126,11 +126,11 @@
 // others, which keep sending to it.
 func TestBackoffOfOneGatewayDoesNotBindOthers(t *testing.T) {
 	g := newGatewayFleet(7, "a", "b")
-	one := g.tables[3].Pick(&fleet.Query{Service: plain, Now: g.now})
-	for one.Replica.ID != "a" {
-		one = g.tables[3].Pick(&fleet.Query{Service: plain, Now: g.now})
+	lease := g.tables[3].Pick(&fleet.Query{Service: plainService, Now: g.now})
+	for lease.Replica.ID != "a" {
+		lease = g.tables[3].Pick(&fleet.Query{Service: plainService, Now: g.now})
 	}
-	one.ApplyFeedback(fleet.Feedback{Backoff: time.Minute}, g.now)
+	lease.ApplyFeedback(fleet.Feedback{Backoff: time.Minute}, g.now)
 	g.deliver()
 	if countChoices(g.tables[5], g.now)["a"] == 0 {
 		t.Error("another gateway backs off too")
@@ -141,7 +141,7 @@
 	if g.arrivals["a"] < 60 {
 		t.Errorf("%v of 300", g.arrivals)
 	}
-	if g.tables[3].TimeUntilAvailable(&fleet.Query{Service: plain, Now: g.now}) != 0 || len(g.tables[5].Limits(g.now)) > 1 {
+	if g.tables[3].TimeUntilAvailable(&fleet.Query{Service: plainService, Now: g.now}) != 0 || len(g.tables[5].Limits(g.now)) > 1 {
 		t.Errorf("%+v", g.tables[5].Limits(g.now))
 	}
 }
@@ -158,9 +158,9 @@
 // backoff.
 func TestFeedbackBeforeRecordOfNextLife(t *testing.T) {
 	for name, c := range map[string]struct {
-		word  fleet.Feedback
-		heard time.Duration
-		free  bool
+		feedback  fleet.Feedback
+		heard     time.Duration
+		available bool
 	}{
 		"backoff, heard since":  {fleet.Feedback{Backoff: time.Minute}, 2 * time.Second, false},
 		"backoff, heard before": {fleet.Feedback{Backoff: time.Minute}, 500 * time.Millisecond, true},
@@ -170,24 +170,24 @@
 		"leaving, heard before": {fleet.Feedback{Leaving: true}, 500 * time.Millisecond, true},
 	} {
 		for _, vanishes := range []bool{false, true} {
-			t.Run(fmt.Sprint(name, ", the record vanishes ", vanishes), func(t *testing.T) { checkNextLife(t, c.word, c.heard, c.free, vanishes) })
+			t.Run(fmt.Sprint(name, ", the record vanishes ", vanishes), func(t *testing.T) { checkNextLife(t, c.feedback, c.heard, c.available, vanishes) })
 		}
 	}
 }
 
-func checkNextLife(t *testing.T, word fleet.Feedback, heard time.Duration, free, vanishes bool) {
+func checkNextLife(t *testing.T, feedback fleet.Feedback, heard time.Duration, available, vanishes bool) {
 	began := time.Now()
 	table := &fleet.Table{}
 	r := replica("a")
 	r.Written = 1
 	table.Put(r, began)
 	if heard < time.Second {
-		respond(t, table, "a", word, began.Add(heard))
+		respond(t, table, "a", feedback, began.Add(heard))
 	}
 	r.Written = 2
 	table.Put(r, began.Add(time.Second))
 	if heard > time.Second {
-		respond(t, table, "a", word, began.Add(heard))
+		respond(t, table, "a", feedback, began.Add(heard))
 	}
 	if vanishes {
 		table.Remove("a")
@@ -195,7 +195,7 @@
 	r.Born, r.Written = 7, 3
 	now := began.Add(3 * time.Second)
 	table.Put(r, now)
-	if got := table.Pick(&fleet.Query{Service: plain, Now: now}) != nil; got != free {
+	if got := table.Pick(&fleet.Query{Service: plainService, Now: now}) != nil; got != available {
 		t.Errorf("the next life is available: %v", got)
 	}
 }
@@ -215,7 +215,7 @@
 	r.Born, r.Written, r.Beat = 7, graniteknot.PositionOf(1, 9), 1
 	now := began.Add(3 * time.Second)
 	table.Put(r, now)
-	if table.Pick(&fleet.Query{Service: plain, Now: now}) != nil {
+	if table.Pick(&fleet.Query{Service: plainService, Now: now}) != nil {
 		t.Error("the next life was chosen during its backoff")
 	}
 }
--- a/internal/core/fleet/feedback_test.go
+++ b/internal/core/fleet/feedback_test.go
@@ -13,15 +13,15 @@
 )
 
 // respond has a replica answer a request with feedback now.
-func respond(t *testing.T, table *fleet.Table, id catalog.ReplicaID, w fleet.Feedback, now time.Time) {
+func respond(t *testing.T, table *fleet.Table, id catalog.ReplicaID, f fleet.Feedback, now time.Time) {
 	t.Helper()
 	for range 1000 {
-		l := table.Pick(&fleet.Query{Service: plain, Now: now})
+		l := table.Pick(&fleet.Query{Service: plainService, Now: now})
 		if l == nil {
 			break
 		}
 		if l.Replica.ID == id {
-			l.ApplyFeedback(w, now)
+			l.ApplyFeedback(f, now)
 			l.End(fleet.VerdictFull, now)
 			return
 		}
@@ -34,7 +34,7 @@
 func countChoices(table *fleet.Table, now time.Time) map[catalog.ReplicaID]int {
 	out := map[catalog.ReplicaID]int{}
 	for range 100 {
-		if l := table.Pick(&fleet.Query{Service: plain, Now: now}); l != nil {
+		if l := table.Pick(&fleet.Query{Service: plainService, Now: now}); l != nil {
 			out[l.Replica.ID]++
 			l.End(fleet.VerdictNone, now)
 		}
@@ -48,50 +48,50 @@
 func TestBackoffLastsAsRequested(t *testing.T) {
 	now := time.Now()
 	table := newTable("a")
-	l := table.Pick(&fleet.Query{Service: plain, Now: now})
-	late := table.Pick(&fleet.Query{Service: plain, Now: now})
-	if !l.ApplyFeedback(fleet.Feedback{Backoff: 3 * time.Second}, now) {
+	first := table.Pick(&fleet.Query{Service: plainService, Now: now})
+	second := table.Pick(&fleet.Query{Service: plainService, Now: now})
+	if !first.ApplyFeedback(fleet.Feedback{Backoff: 3 * time.Second}, now) {
 		t.Error("the first backoff is not a change")
 	}
-	if late.Allowed(now) {
+	if second.Allowed(now) {
 		t.Error("a request whose replica was chosen before is still allowed")
 	}
-	late.ApplyFeedback(fleet.Feedback{Backoff: time.Second}, now.Add(100*time.Millisecond))
-	l.End(fleet.VerdictFull, now)
-	late.End(fleet.VerdictFull, now)
+	second.ApplyFeedback(fleet.Feedback{Backoff: time.Second}, now.Add(100*time.Millisecond))
+	first.End(fleet.VerdictFull, now)
+	second.End(fleet.VerdictFull, now)
 	for _, after := range []time.Duration{0, 1200 * time.Millisecond, 2999 * time.Millisecond} {
 		if got := countChoices(table, now.Add(after)); len(got) > 0 {
 			t.Errorf("chosen after %v", after)
 		}
-		if rest := table.TimeUntilAvailable(&fleet.Query{Service: plain, Now: now.Add(after)}); rest != 3*time.Second-after {
-			t.Errorf("after %v: available in %v", after, rest)
+		if wait := table.TimeUntilAvailable(&fleet.Query{Service: plainService, Now: now.Add(after)}); wait != 3*time.Second-after {
+			t.Errorf("after %v: available in %v", after, wait)
 		}
 	}
 	now = now.Add(3 * time.Second)
-	if rest := table.TimeUntilAvailable(&fleet.Query{Service: plain, Now: now}); rest != 0 {
-		t.Errorf("available in %v, after the backoff", rest)
+	if wait := table.TimeUntilAvailable(&fleet.Query{Service: plainService, Now: now}); wait != 0 {
+		t.Errorf("available in %v, after the backoff", wait)
 	}
-	trial := table.Pick(&fleet.Query{Service: plain, Now: now})
-	if trial == nil || !trial.Allowed(now) {
+	probe := table.Pick(&fleet.Query{Service: plainService, Now: now})
+	if probe == nil || !probe.Allowed(now) {
 		t.Fatal("not chosen after its backoff")
 	}
 	if _, usable := table.Count("s", now); usable != 0 {
 		t.Error("more than one request may probe it")
 	}
-	trial.RecordResponse(now)
+	probe.RecordResponse(now)
 	if _, usable := table.Count("s", now); usable != 1 {
 		t.Error("not usable after it answered")
 	}
-	trial.End(fleet.VerdictGood, now)
+	probe.End(fleet.VerdictGood, now)
 }
 
 // TestOthersAreChosenDuringBackoff checks that all requests go to the other replica while one
 // is backing off or leaving.
 func TestOthersAreChosenDuringBackoff(t *testing.T) {
 	now := time.Now()
-	for name, w := range map[string]fleet.Feedback{"backoff": {Backoff: time.Hour}, "leaving": {Leaving: true}} {
+	for name, f := range map[string]fleet.Feedback{"backoff": {Backoff: time.Hour}, "leaving": {Leaving: true}} {
 		table := newTable("a", "b")
-		respond(t, table, "a", w, now)
+		respond(t, table, "a", f, now)
 		if got := countChoices(table, now.Add(time.Minute)); got["a"] > 0 || got["b"] != 100 {
 			t.Errorf("%s: %v", name, got)
 		}
@@ -105,26 +105,26 @@
 	table := newTable("backing-off", "leaving", "draining", "other")
 	respond(t, table, "backing-off", fleet.Feedback{Backoff: time.Hour}, now)
 	respond(t, table, "leaving", fleet.Feedback{Leaving: true}, now)
-	leaving := replica("draining")
-	leaving.Draining = true
-	table.Put(leaving, now)
-	said := []catalog.ReplicaID{"backing-off", "leaving", "draining"}
-	for _, id := range said {
+	record := replica("draining")
+	record.Draining = true
+	table.Put(record, now)
+	ids := []catalog.ReplicaID{"backing-off", "leaving", "draining"}
+	for _, id := range ids {
 		table.Remove(id)
 	}
-	for _, id := range said {
+	for _, id := range ids {
 		table.Put(replica(id), now)
 	}
 	if got := countChoices(table, now); got["other"] != 100 {
 		t.Errorf("after the records came back: %v", got)
 	}
-	for _, id := range said {
+	for _, id := range ids {
 		next := replica(id)
 		next.Born = 7
 		table.Put(next, now)
 	}
 	got := countChoices(table, now)
-	for _, id := range said {
+	for _, id := range ids {
 		if got[id] == 0 {
 			t.Errorf("the next life of %q is not chosen: %v", id, got)
 		}
@@ -156,9 +156,9 @@
 // refused at once where it doesn't, also when the backoff is asked for while it waits.
 func TestQueueDuringBackoff(t *testing.T) {
 	for name, c := range map[string]struct {
-		rest, before time.Duration
-		served       bool
-		took         time.Duration
+		backoff, asked time.Duration
+		served         bool
+		want           time.Duration
 	}{
 		"in time":                          {300 * time.Millisecond, 0, true, 300 * time.Millisecond},
 		"not in time":                      {3 * time.Second, 0, false, 0},
@@ -166,39 +166,39 @@
 		"in time, asked while waiting":     {300 * time.Millisecond, 200 * time.Millisecond, true, 500 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { checkQueueDuringBackoff(t, c.rest, c.before, c.served, c.took) })
+			synctest.Test(t, func(t *testing.T) { checkQueueDuringBackoff(t, c.backoff, c.asked, c.served, c.want) })
 		})
 	}
 }
 
-func checkQueueDuringBackoff(t *testing.T, rest, before time.Duration, served bool, took time.Duration) {
+func checkQueueDuringBackoff(t *testing.T, backoff, asked time.Duration, served bool, want time.Duration) {
 	ctx, cancel := context.WithCancel(context.Background())
 	table := newTable("a")
-	var looks sync.WaitGroup
-	looks.Go(func() { sweepPeriodically(ctx, table) })
-	defer looks.Wait()
+	var sweeps sync.WaitGroup
+	sweeps.Go(func() { sweepPeriodically(ctx, table) })
+	defer sweeps.Wait()
 	defer cancel()
 	begin := time.Now()
-	first := table.Pick(&fleet.Query{Service: engine, Now: begin})
-	if before > 0 {
+	first := table.Pick(&fleet.Query{Service: engineService, Now: begin})
+	if asked > 0 {
 		// Meanwhile the group is down, so that the queued request finds no slot.
 		table.Report("a", fleet.Load{GroupDown: true, Taken: begin})
-		time.AfterFunc(before, func() {
+		time.AfterFunc(asked, func() {
 			table.Report("a", fleet.Load{Taken: time.Now()})
 		})
-		time.AfterFunc(before-time.Millisecond, func() { first.ApplyFeedback(fleet.Feedback{Backoff: rest}, time.Now()) })
+		time.AfterFunc(asked-time.Millisecond, func() { first.ApplyFeedback(fleet.Feedback{Backoff: backoff}, time.Now()) })
 	} else {
-		first.ApplyFeedback(fleet.Feedback{Backoff: rest}, begin)
+		first.ApplyFeedback(fleet.Feedback{Backoff: backoff}, begin)
 	}
 	first.End(fleet.VerdictFull, begin)
-	q := &fleet.Query{Service: engine, Now: time.Now(), RequestedAt: time.Now()}
+	q := &fleet.Query{Service: engineService, Now: time.Now(), RequestedAt: time.Now()}
 	l := table.Acquire(ctx, q, fleet.WaitBounds{FirstEventBy: begin.Add(time.Second), GiveUpAt: begin.Add(1500 * time.Millisecond)})
 	if (l != nil) != served {
 		t.Errorf("served: %v", l != nil)
 	}
 	const slack = 150 * time.Millisecond
-	if got := time.Since(begin); got < took-time.Millisecond || got > took+slack {
-		t.Errorf("returned after %v, want %v", got, took)
+	if got := time.Since(begin); got < want-time.Millisecond || got > want+slack {
+		t.Errorf("returned after %v, want %v", got, want)
 	}
 }
 
@@ -216,7 +216,7 @@
 	table := newTable("a", "b")
 	now := time.Now()
 	for range 2 {
-		l := table.Pick(&fleet.Query{Service: plain, Tried: []catalog.Life{{ID: "b"}}, Now: now})
+		l := table.Pick(&fleet.Query{Service: plainService, Tried: []catalog.Life{{ID: "b"}}, Now: now})
 		l.End(fleet.VerdictBad, now)
 	}
 	table.Remove("a")
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -13,8 +13,8 @@
 )
 
 var (
-	plain  = &catalog.Service{Name: "s"}
-	engine = &catalog.Service{Name: "s", Engine: &catalog.Engine{
+	plainService  = &catalog.Service{Name: "s"}
+	engineService = &catalog.Service{Name: "s", Engine: &catalog.Engine{
 		Slots: 4, Step: 20 * time.Millisecond, PerWriter: 5 * time.Millisecond, Chunk: 512, Stride: 1,
 	}}
 )
@@ -33,7 +33,7 @@
 }
 
 func pick(t *fleet.Table, tried ...catalog.Life) catalog.ReplicaID {
-	l := t.Pick(&fleet.Query{Service: plain, Tried: tried, Now: time.Now()})
+	l := t.Pick(&fleet.Query{Service: plainService, Tried: tried, Now: time.Now()})
 	if l == nil {
 		return ""
 	}
@@ -43,9 +43,9 @@
 
 func TestDrainingReplicaIsNeverChosen(t *testing.T) {
 	table := newTable("a", "b")
-	leaving := replica("a")
-	leaving.Draining = true
-	table.Put(leaving, time.Now())
+	draining := replica("a")
+	draining.Draining = true
+	table.Put(draining, time.Now())
 	// A late heartbeat from before doesn't bring it back.
 	table.Put(replica("a"), time.Now())
 	for range 20 {
@@ -65,12 +65,12 @@
 	start := time.Now()
 	table.MarkLapsed("a", start)
 	table.MarkLapsed("b", start)
-	back := start.Add(10 * time.Second)
-	if gone := table.RemoveLapsed(back, back.Add(1900*time.Millisecond)); len(gone) != 0 {
-		t.Fatalf("removed too early: %v", gone)
+	storeBack := start.Add(10 * time.Second)
+	if removed := table.RemoveLapsed(storeBack, storeBack.Add(1900*time.Millisecond)); len(removed) != 0 {
+		t.Fatalf("removed too early: %v", removed)
 	}
-	table.Put(replica("b"), back.Add(time.Second))
-	if gone := table.RemoveLapsed(back, back.Add(2*time.Second)); len(gone) != 1 || gone[0] != "a" {
+	table.Put(replica("b"), storeBack.Add(time.Second))
+	if gone := table.RemoveLapsed(storeBack, storeBack.Add(2*time.Second)); len(gone) != 1 || gone[0] != "a" {
 		t.Fatalf("removed: %v", gone)
 	}
 	if got := pick(table); got != "b" {
@@ -82,7 +82,7 @@
 	table := newTable("a", "b")
 	now := time.Now()
 	for range 2 {
-		l := table.Pick(&fleet.Query{Service: plain, Tried: []catalog.Life{{ID: "b"}}, Now: now})
+		l := table.Pick(&fleet.Query{Service: plainService, Tried: []catalog.Life{{ID: "b"}}, Now: now})
 		l.End(fleet.VerdictBad, now)
 	}
 	for range 20 {
@@ -92,15 +92,15 @@
 	}
 	// Later, one request at a time probes it.
 	later := now.Add(time.Minute)
-	query := &fleet.Query{Service: plain, Tried: []catalog.Life{{ID: "b"}}, Now: later}
-	trial := table.Pick(query)
-	if trial == nil || trial.Replica.ID != "a" {
+	query := &fleet.Query{Service: plainService, Tried: []catalog.Life{{ID: "b"}}, Now: later}
+	probe := table.Pick(query)
+	if probe == nil || probe.Replica.ID != "a" {
 		t.Fatal("the ejected replica was not probed")
 	}
 	if _, usable := table.Count("s", later); usable != 1 {
 		t.Errorf("%d usable while it is probed", usable)
 	}
-	trial.End(fleet.VerdictGood, later)
+	probe.End(fleet.VerdictGood, later)
 	if _, usable := table.Count("s", later); usable != 2 {
 		t.Errorf("%d usable after it answered", usable)
 	}
@@ -112,22 +112,22 @@
 	table.Report("a", fleet.Load{Running: 3, Taken: now})
 	table.Report("b", fleet.Load{Running: 1, Taken: now})
 	table.Report("c", fleet.Load{Running: 1, Waiting: 2, Taken: now})
-	got := table.Pick(&fleet.Query{Service: engine, Now: now})
+	got := table.Pick(&fleet.Query{Service: engineService, Now: now})
 	if got.Replica.ID != "b" {
 		t.Errorf("chose %q", got.Replica.ID)
 	}
 	// Its own request counts at once; an old report doesn't count forever.
-	if next := table.Pick(&fleet.Query{Service: engine, Now: now}); next.Replica.ID != "b" {
+	if next := table.Pick(&fleet.Query{Service: engineService, Now: now}); next.Replica.ID != "b" {
 		t.Errorf("chose %q for the second", next.Replica.ID)
 	}
-	if third := table.Pick(&fleet.Query{Service: engine, Now: now.Add(time.Hour)}); third.Replica.ID == "b" {
+	if third := table.Pick(&fleet.Query{Service: engineService, Now: now.Add(time.Hour)}); third.Replica.ID == "b" {
 		t.Error("an outdated report still counts")
 	}
 }
 
 // TestCapacityFollowsPassTime checks that engines with long passes get fewer requests.
 func TestCapacityFollowsPassTime(t *testing.T) {
-	taken := func(pass time.Duration, running int) int {
+	accepted := func(pass time.Duration, running int) int {
 		table := newTable("a")
 		now := time.Now()
 		table.Report("a", fleet.Load{Running: running, Pass: pass, Taken: now})
@@ -135,25 +135,24 @@
 		for ; n < 10; n++ {
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
-			query := &fleet.Query{Service: engine, MaxGap: 100 * time.Millisecond, Now: now}
+			query := &fleet.Query{Service: engineService, MaxGap: 100 * time.Millisecond, Now: now}
 			if table.Acquire(ctx, query, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now}) == nil {
 				break
 			}
 		}
 		return n
 	}
-	if n := taken(0, 0); n != 4 {
+	if n := accepted(0, 0); n != 4 {
 		t.Errorf("an idle engine got %d, has 4 slots", n)
 	}
-	if n := taken(40*time.Millisecond, 2); n != 2 {
+	if n := accepted(40*time.Millisecond, 2); n != 2 {
 		t.Errorf("a fast engine got %d beside 2, has 4 slots", n)
 	}
-	if n := taken(50*time.Millisecond, 1); n != 1 {
+	if n := accepted(50*time.Millisecond, 1); n != 1 {
 		t.Errorf("an engine whose passes nearly take the maximum gap got %d beside 1", n)
 	}
-	// Where no pause can be useful any more, many late answers are worth more
-	// than few.
-	if n := taken(400*time.Millisecond, 0); n != 4 {
+	// Where no pause can be useful any more, many late responses are worth more than few.
+	if n := accepted(400*time.Millisecond, 0); n != 4 {
 		t.Errorf("an engine too slow for any gap got %d", n)
 	}
 }
@@ -164,14 +163,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		table := newTable("a")
 		start := time.Now()
-		var held []*fleet.Lease
+		var leases []*fleet.Lease
 		for range 4 {
-			held = append(held, table.Acquire(t.Context(), &fleet.Query{Service: engine, Now: start}, fleet.WaitBounds{}))
+			leases = append(leases, table.Acquire(t.Context(), &fleet.Query{Service: engineService, Now: start}, fleet.WaitBounds{}))
 		}
 		order := make(chan string, 4)
 		var callers sync.WaitGroup
 		wait := func(name string, urgency catalog.Urgency, aim, last time.Duration) {
-			query := &fleet.Query{Service: engine, Urgency: urgency, Now: time.Now()}
+			query := &fleet.Query{Service: engineService, Urgency: urgency, Now: time.Now()}
 			lease := table.Acquire(t.Context(), query, fleet.WaitBounds{FirstEventBy: start.Add(aim), GiveUpAt: start.Add(last)})
 			if lease == nil {
 				order <- name + " gave up"
@@ -195,7 +194,7 @@
 		}
 		defer callers.Wait()
 		time.Sleep(5 * time.Second)
-		held[0].End(fleet.VerdictGood, time.Now())
+		leases[0].End(fleet.VerdictGood, time.Now())
 		for _, want := range []string{"impatient gave up", "urgent", "in time", "late"} {
 			if got := <-order; got != want {
 				t.Errorf("got %q, want %q", got, want)
@@ -215,7 +214,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	n := 0
-	for table.Acquire(ctx, &fleet.Query{Service: engine, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now}) != nil {
+	for table.Acquire(ctx, &fleet.Query{Service: engineService, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now}) != nil {
 		n++
 	}
 	if n != 2 {
@@ -236,7 +235,7 @@
 			table.Report("a", fleet.Load{Taken: time.Now()})
 		})
 		asked := time.Now()
-		query := &fleet.Query{Service: engine, Now: asked, RequestedAt: asked}
+		query := &fleet.Query{Service: engineService, Now: asked, RequestedAt: asked}
 		lease := table.Acquire(t.Context(), query, fleet.WaitBounds{FirstEventBy: asked.Add(time.Second), GiveUpAt: asked.Add(time.Second)})
 		if lease == nil || time.Since(asked) != 300*time.Millisecond || lease.Inputs.Waited != 300*time.Millisecond {
 			t.Errorf("%+v after %v", lease, time.Since(asked))
@@ -255,7 +254,7 @@
 	cancel()
 	got := map[catalog.ReplicaID]int{}
 	for range 10 {
-		if l := table.Acquire(ctx, &fleet.Query{Service: engine, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now}); l != nil {
+		if l := table.Acquire(ctx, &fleet.Query{Service: engineService, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now}); l != nil {
 			got[l.Replica.ID]++
 		}
 	}
@@ -271,7 +270,7 @@
 	cancel()
 	now := time.Now()
 	acquire := func(table *fleet.Table, at time.Time) bool {
-		return table.Acquire(ctx, &fleet.Query{Service: engine, Now: at}, fleet.WaitBounds{FirstEventBy: at, GiveUpAt: at}) != nil
+		return table.Acquire(ctx, &fleet.Query{Service: engineService, Now: at}, fleet.WaitBounds{FirstEventBy: at, GiveUpAt: at}) != nil
 	}
 	table := &fleet.Table{}
 	table.Put(replica("a"), now)
--- a/internal/core/fleet/forecast_test.go
+++ b/internal/core/fleet/forecast_test.go
@@ -23,8 +23,8 @@
 	put("b", "g", 1.2, 9)
 	put("c", "g", 3.4, 8)
 	put("d", "h", 1.5, 2)
-	for skew, others := range map[float64][]catalog.Life{1.2: {{ID: "d"}}, 1.5: {{ID: "a"}, {ID: "b"}, {ID: "c"}}} {
-		lease := table.Pick(&fleet.Query{Service: grouped, MaxGap: usefulGap, Now: now, Tried: others})
+	for skew, tried := range map[float64][]catalog.Life{1.2: {{ID: "d"}}, 1.5: {{ID: "a"}, {ID: "b"}, {ID: "c"}}} {
+		lease := table.Pick(&fleet.Query{Service: groupedService, MaxGap: usefulGap, Now: now, Tried: tried})
 		if lease == nil || lease.Inputs.Skew != skew {
 			t.Errorf("want skew %v, got lease %+v", skew, lease)
 		}
--- a/internal/core/fleet/group_test.go
+++ b/internal/core/fleet/group_test.go
@@ -31,7 +31,7 @@
 	now := time.Now()
 	even := fleet.Load{Forecast: fleet.Forecast{Skew: 1, Number: 1}}
 	uneven := fleet.Load{Forecast: fleet.Forecast{Skew: 5, Number: 1}}
-	for name, x := range map[string]struct {
+	for name, c := range map[string]struct {
 		loads []fleet.Load
 		want  int
 	}{
@@ -40,8 +40,8 @@
 		"one down":              {[]fleet.Load{even, {GroupDown: true}}, 4 * 12},
 		"even, uneven and down": {[]fleet.Load{even, uneven, {GroupDown: true}}, 4*12 + 4*4 + 1},
 	} {
-		if got := countAccepted(newGroupsTable(now, x.loads...), 0, now); got != x.want {
-			t.Errorf("%s: %d requests, want %d", name, got, x.want)
+		if got := countAccepted(newGroupsTable(now, c.loads...), 0, now); got != c.want {
+			t.Errorf("%s: %d requests, want %d", name, got, c.want)
 		}
 	}
 }
@@ -53,7 +53,7 @@
 	table := newGroupsTable(now, fleet.Load{Forecast: fleet.Forecast{Skew: 1, Number: 1}}, fleet.Load{Forecast: fleet.Forecast{Skew: 3, Number: 1}})
 	sent := map[string]int{}
 	for range 40 {
-		l := table.Pick(&fleet.Query{Service: grouped, MaxGap: usefulGap, Now: now})
+		l := table.Pick(&fleet.Query{Service: groupedService, MaxGap: usefulGap, Now: now})
 		sent[l.Replica.Group]++
 	}
 	// The work of the second takes 0.15 + 0.85 * 3 = 2.7 times as long.
--- a/internal/core/fleet/life_test.go
+++ b/internal/core/fleet/life_test.go
@@ -23,31 +23,31 @@
 // read soon. The new life gets requests once its record is there.
 func TestReportOfNewLifeSupersedesOldRecord(t *testing.T) {
 	start := time.Now()
-	told := fleet.Load{Life: catalog.Life{ID: "new"}.Mark(), Taken: start}
-	for name, order := range map[string][]func(*fleet.Table){
+	report := fleet.Load{Life: catalog.Life{ID: "new"}.Mark(), Taken: start}
+	for name, steps := range map[string][]func(*fleet.Table){
 		"record first": {
 			func(x *fleet.Table) { x.Put(record("old", 1), start.Add(-time.Second)) },
-			func(x *fleet.Table) { x.Report("a", told) },
+			func(x *fleet.Table) { x.Report("a", report) },
 		},
 		"sidecar first": {
-			func(x *fleet.Table) { x.Report("a", told) },
+			func(x *fleet.Table) { x.Report("a", report) },
 			func(x *fleet.Table) { x.Put(record("old", 1), start.Add(100*time.Millisecond)) },
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := &fleet.Table{}
-			for _, step := range order {
+			for _, step := range steps {
 				step(table)
 			}
 			now := start.Add(200 * time.Millisecond)
-			if l := table.Pick(&fleet.Query{Service: engine, Now: now}); l != nil {
+			if l := table.Pick(&fleet.Query{Service: engineService, Now: now}); l != nil {
 				t.Errorf("a request was sent to %q, which has ended", l.Replica.ID)
 			}
 			if !table.RecordsStale(now) {
 				t.Error("the records do not count as stale")
 			}
 			table.Put(record("new", 2), now)
-			l := table.Pick(&fleet.Query{Service: engine, Now: now})
+			l := table.Pick(&fleet.Query{Service: engineService, Now: now})
 			if l == nil || l.Replica.ID != "new" {
 				t.Errorf("the new life got no request: %v", l)
 			}
@@ -68,7 +68,7 @@
 	table.Put(record("new", 6), start.Add(2*time.Second))
 	now := start.Add(2100 * time.Millisecond)
 	table.Report("a", fleet.Load{Life: catalog.Life{ID: "old"}.Mark(), Taken: now})
-	if l := table.Pick(&fleet.Query{Service: engine, Now: now}); l == nil {
+	if l := table.Pick(&fleet.Query{Service: engineService, Now: now}); l == nil {
 		t.Error("a replica with recent heartbeats got no request")
 	}
 }
@@ -79,7 +79,7 @@
 	table := &fleet.Table{}
 	table.Put(record("x", 1), now)
 	table.Report("a", fleet.Load{Taken: now})
-	if l := table.Pick(&fleet.Query{Service: engine, Now: now}); l == nil || table.RecordsStale(now) {
+	if l := table.Pick(&fleet.Query{Service: engineService, Now: now}); l == nil || table.RecordsStale(now) {
 		t.Error("a report without a life mark supersedes its replica")
 	}
 }
@@ -97,17 +97,17 @@
 func TestNextLifeWithSameID(t *testing.T) {
 	now := time.Now()
 	table := &fleet.Table{}
-	former := recordBornAt(100, 1)
-	table.Put(former, now)
-	query := &fleet.Query{Service: plain, Now: now}
+	previous := recordBornAt(100, 1)
+	table.Put(previous, now)
+	query := &fleet.Query{Service: plainService, Now: now}
 	for range 4 {
 		table.Pick(query).End(fleet.VerdictBad, now)
 	}
-	held := table.Pick(&fleet.Query{Service: plain, Now: now.Add(time.Minute)})
-	moved := 0
-	held.OnReroute(func() { moved++ })
-	former.Draining, former.Written = true, 2
-	table.Put(former, now)
+	lease := table.Pick(&fleet.Query{Service: plainService, Now: now.Add(time.Minute)})
+	rerouted := 0
+	lease.OnReroute(func() { rerouted++ })
+	previous.Draining, previous.Written = true, 2
+	table.Put(previous, now)
 	before := table.Digest()
 	if !table.Put(recordBornAt(90, 3), now) {
 		t.Error("the next life was treated as a heartbeat")
@@ -118,19 +118,19 @@
 	if table.Put(recordBornAt(100, 2), now) {
 		t.Error("a late record of the previous life was accepted")
 	}
-	tried := &fleet.Query{Service: plain, Now: now, Tried: []catalog.Life{former.Life()}}
+	tried := &fleet.Query{Service: plainService, Now: now, Tried: []catalog.Life{previous.Life()}}
 	l := table.Pick(tried)
 	if l == nil || l.Replica.Born != 90 || l.Inputs.Own != 0 || l.Inputs.Probe {
 		t.Fatalf("%+v", l)
 	}
-	_, stuck := table.Sweep(now)
-	for _, s := range stuck {
+	_, leases := table.Sweep(now)
+	for _, s := range leases {
 		s.Reroute()
 	}
-	if moved != 1 {
-		t.Errorf("the request at the previous life was rerouted %d times", moved)
+	if rerouted != 1 {
+		t.Errorf("the request at the previous life was rerouted %d times", rerouted)
 	}
-	held.End(fleet.VerdictBad, now)
+	lease.End(fleet.VerdictBad, now)
 	if l := table.Pick(query); l == nil || l.Inputs.Own != 1 {
 		t.Errorf("the end of a request at the previous life counts for the next: %+v", l)
 	}
@@ -145,14 +145,14 @@
 	next := recordBornAt(50, 2)
 	table.Report("a", fleet.Load{Life: next.Life().Mark(), Taken: now.Add(time.Second)})
 	later := now.Add(1100 * time.Millisecond)
-	if l := table.Pick(&fleet.Query{Service: engine, Now: later}); l != nil {
+	if l := table.Pick(&fleet.Query{Service: engineService, Now: later}); l != nil {
 		t.Errorf("a request was sent to %v, which has ended", l.Replica.Life())
 	}
 	if !table.RecordsStale(later) {
 		t.Error("the records do not count as stale")
 	}
 	table.Put(next, later)
-	if l := table.Pick(&fleet.Query{Service: engine, Now: later}); l == nil || l.Replica.Born != 50 {
+	if l := table.Pick(&fleet.Query{Service: engineService, Now: later}); l == nil || l.Replica.Born != 50 {
 		t.Errorf("the next life got no request: %+v", l)
 	}
 }
@@ -166,7 +166,7 @@
 	table.Report("a", fleet.Load{Life: catalog.Life{ID: "new"}.Mark(), Taken: start})
 	now := start.Add(time.Second)
 	table.PutSince(record("old", 2), start.Add(-500*time.Millisecond), now)
-	if l := table.Pick(&fleet.Query{Service: engine, Now: now}); l != nil {
+	if l := table.Pick(&fleet.Query{Service: engineService, Now: now}); l != nil {
 		t.Errorf("a request was sent to %q, which has ended", l.Replica.ID)
 	}
 }
--- a/internal/core/fleet/limit_test.go
+++ b/internal/core/fleet/limit_test.go
@@ -22,14 +22,14 @@
 		table := newTable("a")
 		table.NotifyOutbox(1, func() {})
 		now := time.Now()
-		first := table.Pick(&fleet.Query{Service: plain, Now: now})
-		second := table.Pick(&fleet.Query{Service: plain, Now: now})
+		first := table.Pick(&fleet.Query{Service: plainService, Now: now})
+		second := table.Pick(&fleet.Query{Service: plainService, Now: now})
 		if !first.ApplyFeedback(limitFeedback(2), now) || first.ApplyFeedback(limitFeedback(2), now) {
 			t.Error("only the first announcement of a limit is a change")
 		}
-		told, _ := table.DrainOutbox(now)
-		if len(told) != 1 || !told[0].Holds || told[0].Rate != 2 {
-			t.Errorf("notices %+v", told)
+		notices, _ := table.DrainOutbox(now)
+		if len(notices) != 1 || !notices[0].Holds || notices[0].Rate != 2 {
+			t.Errorf("notices %+v", notices)
 		}
 		if second.ApplyFeedback(fleet.Feedback{Unlimited: true}, now.Add(time.Millisecond)) || len(table.Limits(now)) != 1 {
 			t.Error("a response to a request sent before the limit was announced clears it")
@@ -49,10 +49,10 @@
 func TestLimitBelongsToLife(t *testing.T) {
 	now := time.Now()
 	table := newTable("a")
-	l := table.Pick(&fleet.Query{Service: plain, Now: now})
+	l := table.Pick(&fleet.Query{Service: plainService, Now: now})
 	l.ApplyFeedback(limitFeedback(0), now)
 	l.End(fleet.VerdictGood, now)
-	if table.Pick(&fleet.Query{Service: plain, Now: now}) != nil {
+	if table.Pick(&fleet.Query{Service: plainService, Now: now}) != nil {
 		t.Error("a replica with limit 0 was chosen")
 	}
 	next := l.Replica
@@ -62,7 +62,7 @@
 	next.Born, next.Written = 9, next.Written+1
 	table.Put(next, now)
 	for range 3 {
-		if got := table.Pick(&fleet.Query{Service: plain, Now: now}); got == nil || got.Replica.Born != 9 {
+		if got := table.Pick(&fleet.Query{Service: plainService, Now: now}); got == nil || got.Replica.Born != 9 {
 			t.Error("the next life is not chosen")
 		}
 	}
@@ -78,14 +78,14 @@
 func TestPermitsExpire(t *testing.T) {
 	began := time.Now()
 	table := newTable("a")
-	l := table.Pick(&fleet.Query{Service: plain, Now: began})
+	l := table.Pick(&fleet.Query{Service: plainService, Now: began})
 	l.ApplyFeedback(limitFeedback(1), began)
 	sent := 0
 	for at := time.Duration(0); at < 20*time.Second; at += 20 * time.Millisecond {
 		if at > 8*time.Second && at < 12*time.Second {
 			continue
 		}
-		if x := table.Pick(&fleet.Query{Service: plain, Now: began.Add(at)}); x != nil {
+		if x := table.Pick(&fleet.Query{Service: plainService, Now: began.Add(at)}); x != nil {
 			sent++
 			x.End(fleet.VerdictGood, began.Add(at))
 		}
--- a/internal/core/fleet/limit_use_test.go
+++ b/internal/core/fleet/limit_use_test.go
@@ -14,10 +14,10 @@
 // it, and no request is refused while a replica without a limit has capacity.
 func TestLimitsAreUsed(t *testing.T) {
 	for _, c := range []struct {
-		gateways, asked, replicas int
-		every                     time.Duration
-		limits                    []quota.Rate
-		least                     float64
+		gateways, active, replicas int
+		interval                   time.Duration
+		limits                     []quota.Rate
+		minUsed                    float64
 	}{
 		{7, 7, 4, time.Second / 42, []quota.Rate{1.1, 1}, 0.85},
 		{7, 7, 4, time.Second / 28, []quota.Rate{2, 2, 2, 2}, 0.85},
@@ -35,10 +35,10 @@
 				}
 			}
 			g := newGatewayFleet(c.gateways, ids...)
-			g.active, g.interval = c.asked, c.every
+			g.active, g.interval = c.active, c.interval
 			began := g.now
-			const lasting, settled, window = 40 * time.Second, 2 * time.Second, 4 * time.Second
-			for g.now.Sub(began) < lasting {
+			const duration, startup, window = 40 * time.Second, 2 * time.Second, 4 * time.Second
+			for g.now.Sub(began) < duration {
 				g.request(func(id string) fleet.Feedback {
 					rate, named := limits[id]
 					return fleet.Feedback{Answered: true, Unlimited: !named, Limit: quota.Word{Named: named, Rate: rate}}
@@ -46,12 +46,12 @@
 			}
 			for id, rate := range limits {
 				times := g.arrivalTimes[id]
-				if most, may := maxInWindow(times, began.Add(settled), window), 1.5*float64(rate)*window.Seconds()+5; float64(most) > may {
-					t.Errorf("%s, limit %g a second: %d requests in %v, at most %g allowed", id, rate, most, window, may)
+				if most, allowed := maxInWindow(times, began.Add(startup), window), 1.5*float64(rate)*window.Seconds()+5; float64(most) > allowed {
+					t.Errorf("%s, limit %g a second: %d requests in %v, at most %g allowed", id, rate, most, window, allowed)
 				}
-				used := float64(len(times)) / float64(rate) / lasting.Seconds()
-				if used < c.least {
-					t.Errorf("%s, limit %g a second: share %.2f used, want %g", id, rate, used, c.least)
+				used := float64(len(times)) / float64(rate) / duration.Seconds()
+				if used < c.minUsed {
+					t.Errorf("%s, limit %g a second: share %.2f used, want %g", id, rate, used, c.minUsed)
 				}
 			}
 			if g.refused > 0 && len(c.limits) < c.replicas {
--- a/internal/core/fleet/limited_group_test.go
+++ b/internal/core/fleet/limited_group_test.go
@@ -27,10 +27,10 @@
 // the whole group has capacity for, up to their slots.
 func TestLimitedRanksKeepGroupCapacity(t *testing.T) {
 	now := time.Now()
-	all := countAccepted(newLimitedGroup(0, 0, now), 1, now)
-	two := countAccepted(newLimitedGroup(2, 0, now), 1, now)
-	if want := min(all, 2*(grouped.Engine.Slots-2)); two != want {
-		t.Errorf("%d requests with two limited ranks, %d without, want %d", two, all, want)
+	unlimited := countAccepted(newLimitedGroup(0, 0, now), 1, now)
+	twoLimited := countAccepted(newLimitedGroup(2, 0, now), 1, now)
+	if want := min(unlimited, 2*(groupedService.Engine.Slots-2)); twoLimited != want {
+		t.Errorf("%d requests with two limited ranks, %d without, want %d", twoLimited, unlimited, want)
 	}
 }
 
@@ -42,31 +42,31 @@
 		table := newLimitedGroup(4, 2, time.Now())
 		var mu sync.Mutex
 		var wait sync.WaitGroup
-		served, late, refused, told, longest := 0, 0, 0, 0, time.Duration(0)
+		served, late, refused, refusedAtOnce, longestRefusal := 0, 0, 0, 0, time.Duration(0)
 		const atOnce = 20 * time.Millisecond
-		const come = 400
-		for n := range come + 80 {
+		const callers = 400
+		for n := range callers + 80 {
 			for i := range 4 {
 				id := catalog.ReplicaID(rune('a' + i))
 				table.Report(replica(id).Address, fleet.Load{Running: 1, Pass: 30 * time.Millisecond, Forecast: fleet.Forecast{Skew: 1.2, Number: 1}, Taken: time.Now()})
 			}
 			table.Sweep(time.Now())
-			if n >= come {
+			if n >= callers {
 				// Queued requests are still served.
 				time.Sleep(25 * time.Millisecond)
 				continue
 			}
 			wait.Go(func() {
 				now := time.Now()
-				q := &fleet.Query{Service: grouped, MaxGap: usefulGap, Now: now, RequestedAt: now}
+				q := &fleet.Query{Service: groupedService, MaxGap: usefulGap, Now: now, RequestedAt: now}
 				l := table.Acquire(context.Background(), q, fleet.WaitBounds{FirstEventBy: now.Add(500 * time.Millisecond), GiveUpAt: now.Add(1500 * time.Millisecond)})
 				mu.Lock()
 				defer mu.Unlock()
 				if l == nil {
-					longest = max(longest, time.Since(now))
+					longestRefusal = max(longestRefusal, time.Since(now))
 					refused++
 					if time.Since(now) <= atOnce {
-						told++
+						refusedAtOnce++
 					}
 					return
 				}
@@ -80,11 +80,11 @@
 			time.Sleep(25 * time.Millisecond)
 		}
 		wait.Wait()
-		if served < 60 || served > 80 || late > 0 || longest > 100*time.Millisecond {
-			t.Errorf("%d of 80 served, %d of them late; longest wait of a refused one %v", served, late, longest)
+		if served < 60 || served > 80 || late > 0 || longestRefusal > 100*time.Millisecond {
+			t.Errorf("%d of 80 served, %d of them late; longest wait of a refused one %v", served, late, longestRefusal)
 		}
-		if 2*told <= refused {
-			t.Errorf("%d of %d refused within %v", told, refused, atOnce)
+		if 2*refusedAtOnce <= refused {
+			t.Errorf("%d of %d refused within %v", refusedAtOnce, refused, atOnce)
 		}
 	})
 }
--- a/internal/core/fleet/overload_test.go
+++ b/internal/core/fleet/overload_test.go
@@ -8,9 +8,9 @@
 )
 
 // skewAfterStart returns how the skew of a group falls with its first expert maps.
-func skewAfterStart(opens time.Duration) func(time.Duration) float64 {
+func skewAfterStart(startsAt time.Duration) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
-		switch since := at - opens; {
+		switch since := at - startsAt; {
 		case since < 650*time.Millisecond:
 			return 3.4
 		case since < 900*time.Millisecond:
@@ -32,7 +32,7 @@
 		gateways, groups, ranks int
 		// perSecond is the rate of steady callers, crowd the number of retries.
 		perSecond float64
-		crowd     float64
+		retries   float64
 		// inTime and lost bound shares of callers; fewer callers vary more.
 		inTime, lost float64
 	}{
@@ -45,7 +45,7 @@
 				p.startsAt = 1200 * time.Millisecond
 				p.skew = skewAfterStart(p.startsAt)
 				p.startCallers(x.perSecond, 0, 6*time.Second, false)
-				p.startCallers(x.crowd*5, time.Second, 1200*time.Millisecond, true)
+				p.startCallers(x.retries*5, time.Second, 1200*time.Millisecond, true)
 				got := p.simulate(7 * time.Second)
 				if float64(got.inTime) < x.inTime*float64(got.callers) || float64(got.lost) > x.lost*float64(got.callers) || got.longPasses > 3 {
 					t.Errorf("%+v", got)
--- a/internal/core/fleet/pass_model_test.go
+++ b/internal/core/fleet/pass_model_test.go
@@ -13,9 +13,9 @@
 	"graniteknot.org/go/internal/core/fleet"
 )
 
-// grouped is a service whose ranks share the work of experts: a pass takes 20 ms, and
+// groupedService is a service whose ranks share the work of experts: a pass takes 20 ms, and
 // 4 ms more for each decoding request, in nominal time.
-var grouped = &catalog.Service{Name: "s", Engine: &catalog.Engine{
+var groupedService = &catalog.Service{Name: "s", Engine: &catalog.Engine{
 	Slots: 12, Step: 5 * time.Millisecond, PerWriter: time.Millisecond, Stride: 4, Chunk: 512, ReadRate: 50_000,
 	Usual:   catalog.Size{Prompt: 800, Answer: 96},
 	Experts: &catalog.Experts{Sets: 3, Experts: 96, Places: 11, Fraction: 0.85},
@@ -42,7 +42,7 @@
 	cancel()
 	n := 0
 	for ; n < 200; n++ {
-		q := &fleet.Query{Service: grouped, MaxGap: usefulGap, Size: catalog.Size{Prompt: prompt}, Now: now, RequestedAt: now}
+		q := &fleet.Query{Service: groupedService, MaxGap: usefulGap, Size: catalog.Size{Prompt: prompt}, Now: now, RequestedAt: now}
 		if t.Acquire(ctx, q, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now}) == nil {
 			break
 		}
@@ -110,7 +110,7 @@
 			aim       = 500 * time.Millisecond
 			last      = 1500 * time.Millisecond
 		)
-		var atOnce, held, served atomic.Int32
+		var refusedAtOnce, refusedLate, served atomic.Int32
 		var callers sync.WaitGroup
 		for n := range 4 * perSecond {
 			time.Sleep(time.Second / perSecond)
@@ -120,7 +120,7 @@
 				table.Report(replica(id).Address, fleet.Load{Forecast: fleet.Forecast{Skew: 3}, Taken: now})
 			}
 			callers.Go(func() {
-				q := &fleet.Query{Service: grouped, MaxGap: usefulGap, Now: now, RequestedAt: now}
+				q := &fleet.Query{Service: groupedService, MaxGap: usefulGap, Now: now, RequestedAt: now}
 				l := table.Acquire(t.Context(), q, fleet.WaitBounds{FirstEventBy: now.Add(aim), GiveUpAt: now.Add(last)})
 				switch {
 				case l != nil:
@@ -130,15 +130,15 @@
 					l.End(fleet.VerdictGood, time.Now())
 					served.Add(1)
 				case time.Since(now) == 0:
-					atOnce.Add(1)
+					refusedAtOnce.Add(1)
 				default:
-					held.Add(1)
+					refusedLate.Add(1)
 				}
 			})
 		}
 		callers.Wait()
-		if served.Load() < 25 || atOnce.Load() < 100 || held.Load() > served.Load()/3 {
-			t.Errorf("%d served, %d refused at once, %d refused after a wait", served.Load(), atOnce.Load(), held.Load())
+		if served.Load() < 25 || refusedAtOnce.Load() < 100 || refusedLate.Load() > served.Load()/3 {
+			t.Errorf("%d served, %d refused at once, %d refused after a wait", served.Load(), refusedAtOnce.Load(), refusedLate.Load())
 		}
 	})
 }
--- a/internal/core/fleet/pick_bench_test.go
+++ b/internal/core/fleet/pick_bench_test.go
@@ -29,7 +29,7 @@
 	table := newReportingTable(72, now)
 	ctx := context.Background()
 	for b.Loop() {
-		q := &fleet.Query{Service: grouped, MaxGap: usefulGap, Size: catalog.Size{Prompt: 1}, Now: now, RequestedAt: now}
+		q := &fleet.Query{Service: groupedService, MaxGap: usefulGap, Size: catalog.Size{Prompt: 1}, Now: now, RequestedAt: now}
 		if l := table.Acquire(ctx, q, fleet.WaitBounds{FirstEventBy: now.Add(time.Second), GiveUpAt: now.Add(time.Second)}); l != nil {
 			l.End(fleet.VerdictGood, now)
 		}
--- a/internal/core/fleet/records_test.go
+++ b/internal/core/fleet/records_test.go
@@ -15,12 +15,12 @@
 	record := func(id catalog.ReplicaID, at graniteknot.Position) catalog.Replica {
 		return catalog.Replica{ID: id, Service: "s", Address: "a", Written: at}
 	}
-	for _, order := range [][]catalog.Replica{
+	for _, records := range [][]catalog.Replica{
 		{record("old", 5), record("new", 9)},
 		{record("new", 9), record("old", 5)},
 	} {
 		table := &fleet.Table{}
-		for _, r := range order {
+		for _, r := range records {
 			table.Put(r, time.Now())
 		}
 		for range 20 {
@@ -51,20 +51,20 @@
 	if got := newTable("b", "a").Digest(); got != same {
 		t.Error("the digest depends on the order")
 	}
-	beating := newTable("a", "b")
-	beat := replica("a")
-	beat.Written = 9
-	beating.Put(beat, time.Now())
-	if beating.Digest() != same {
+	withHeartbeat := newTable("a", "b")
+	heartbeat := replica("a")
+	heartbeat.Written = 9
+	withHeartbeat.Put(heartbeat, time.Now())
+	if withHeartbeat.Digest() != same {
 		t.Error("the digest depends on heartbeats")
 	}
-	leaving := newTable("a", "b")
-	word := replica("a")
-	word.Draining = true
-	leaving.Put(word, time.Now())
-	for what, other := range map[string]*fleet.Table{"draining": leaving, "less": newTable("a"), "more": newTable("a", "b", "c")} {
+	withDraining := newTable("a", "b")
+	draining := replica("a")
+	draining.Draining = true
+	withDraining.Put(draining, time.Now())
+	for name, other := range map[string]*fleet.Table{"draining": withDraining, "less": newTable("a"), "more": newTable("a", "b", "c")} {
 		if other.Digest() == same {
-			t.Errorf("%s: the digest is the same", what)
+			t.Errorf("%s: the digest is the same", name)
 		}
 	}
 }
--- a/internal/core/fleet/recovery_test.go
+++ b/internal/core/fleet/recovery_test.go
@@ -25,31 +25,31 @@
 		running := fleet.Load{Forecast: fleet.Forecast{Skew: 3, Number: 1}}
 		table := newGroupTable(2, running, time.Now())
 		now := time.Now()
-		hold := []*fleet.Lease{}
+		leases := []*fleet.Lease{}
 		for {
 			ctx, cancel := context.WithCancel(t.Context())
 			cancel()
-			l := table.Acquire(ctx, &fleet.Query{Service: grouped, MaxGap: usefulGap, Now: now, RequestedAt: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now})
+			l := table.Acquire(ctx, &fleet.Query{Service: groupedService, MaxGap: usefulGap, Now: now, RequestedAt: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now})
 			if l == nil {
 				break
 			}
-			hold = append(hold, l)
+			leases = append(leases, l)
 		}
 		served := make(chan bool, 2)
-		for _, returned := range []bool{true, false} {
+		for _, retry := range []bool{true, false} {
 			go func() {
-				q := &fleet.Query{Service: grouped, MaxGap: usefulGap, Now: time.Now(), RequestedAt: time.Now()}
+				q := &fleet.Query{Service: groupedService, MaxGap: usefulGap, Now: time.Now(), RequestedAt: time.Now()}
 				w := fleet.WaitBounds{FirstEventBy: time.Now().Add(400 * time.Millisecond), GiveUpAt: time.Now().Add(time.Second)}
-				if returned {
+				if retry {
 					w.FirstEventBy = time.Now().Add(-time.Second)
 				}
 				if table.Acquire(t.Context(), q, w) != nil {
-					served <- returned
+					served <- retry
 				}
 			}()
 			synctest.Wait()
 		}
-		for _, l := range hold {
+		for _, l := range leases {
 			l.End(fleet.VerdictGood, time.Now())
 			synctest.Wait()
 		}
@@ -64,22 +64,22 @@
 func TestNoWaitForLongDownGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := newGroupTable(4, fleet.Load{GroupDown: true}, time.Now())
-		held := func() time.Duration {
+		waited := func() time.Duration {
 			now := time.Now()
-			q := &fleet.Query{Service: grouped, MaxGap: usefulGap, Now: now, RequestedAt: now}
+			q := &fleet.Query{Service: groupedService, MaxGap: usefulGap, Now: now, RequestedAt: now}
 			if l := table.Acquire(t.Context(), q, fleet.WaitBounds{FirstEventBy: now.Add(500 * time.Millisecond), GiveUpAt: now.Add(1500 * time.Millisecond)}); l != nil {
 				t.Error("served by a group that is down")
 			}
 			return time.Since(now)
 		}
-		if got := held(); got < time.Second {
+		if got := waited(); got < time.Second {
 			t.Errorf("waited %v for a group that may come up", got)
 		}
 		for range 50 {
 			time.Sleep(100 * time.Millisecond)
 			reportAll(table, 4, fleet.Load{GroupDown: true})
 		}
-		if got := held(); got != 0 {
+		if got := waited(); got != 0 {
 			t.Errorf("waited %v for a group that has been down for over six seconds", got)
 		}
 	})
--- a/internal/core/fleet/sample_test.go
+++ b/internal/core/fleet/sample_test.go
@@ -20,7 +20,7 @@
 		most = 12
 	)
 	now := time.Now()
-	got := map[catalog.ReplicaID]int{}
+	chosen := map[catalog.ReplicaID]int{}
 	for range gateways {
 		table := &fleet.Table{}
 		table.SetGateways(gateways)
@@ -33,9 +33,9 @@
 		for range 3 {
 			acquireAt(t, table, now).End(fleet.VerdictGood, now)
 		}
-		got[acquireAt(t, table, now).Replica.ID]++
+		chosen[acquireAt(t, table, now).Replica.ID]++
 	}
-	for id, n := range got {
+	for id, n := range chosen {
 		if n > most {
 			t.Errorf("%d of %d gateways chose %s", n, gateways, id)
 		}
--- a/internal/core/fleet/silence.go
+++ b/internal/core/fleet/silence.go
@@ -113,9 +113,9 @@
 }
 
 // detectSilence reports whether a replica is unreachable: it hasn't been heard for too
-// long while others of its service have. newest is when any of these was last heard,
-// answered when any last sent part of a response. Reports relayed by another gateway
-// don't show that this one reaches the replica; an active stream's events must.
+// long while others of its service have. othersHeard is when any of these was last heard,
+// othersAnswered when any last sent part of a response. Reports relayed by another
+// gateway don't show that this one reaches the replica; an active stream's events must.
 func (t *target) detectSilence(othersHeard, othersAnswered, now time.Time, period time.Duration) bool {
 	if t.load.Relayed && t.streaming() && now.Sub(t.lastResponse) > t.silenceLimit && now.Sub(othersAnswered) < time.Duration(othersHeardDigests*float64(period)) {
 		return true
--- a/internal/core/fleet/silence_test.go
+++ b/internal/core/fleet/silence_test.go
@@ -11,7 +11,7 @@
 // acquireAt returns a lease that is available at once, or nil.
 func acquireAt(t *testing.T, table *fleet.Table, now time.Time) *fleet.Lease {
 	t.Helper()
-	return table.Acquire(t.Context(), &fleet.Query{Service: engine, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now})
+	return table.Acquire(t.Context(), &fleet.Query{Service: engineService, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now})
 }
 
 // TestSilentReplicaGetsNoRequests checks that a replica heard neither through its sidecar
@@ -25,16 +25,16 @@
 	if stuck == nil || stuck.Replica.ID != "a" {
 		t.Fatal("the idle replica was not chosen")
 	}
-	moved := false
-	stuck.OnReroute(func() { moved = true })
+	rerouted := false
+	stuck.OnReroute(func() { rerouted = true })
 	now = now.Add(time.Second)
 	table.Report("b", fleet.Load{Taken: now, Running: 3})
-	changed, found := table.Sweep(now)
-	if len(changed) != 1 || changed[0].Replica != "a" || !changed[0].Silent || len(found) != 1 {
-		t.Fatalf("%+v, %d to be rerouted", changed, len(found))
+	changed, leases := table.Sweep(now)
+	if len(changed) != 1 || changed[0].Replica != "a" || !changed[0].Silent || len(leases) != 1 {
+		t.Fatalf("%+v, %d to be rerouted", changed, len(leases))
 	}
-	found[0].Reroute()
-	if !moved {
+	leases[0].Reroute()
+	if !rerouted {
 		t.Error("the request was not rerouted")
 	}
 	if l := acquireAt(t, table, now); l == nil || l.Replica.ID != "b" {
@@ -67,7 +67,7 @@
 	}
 	l.End(fleet.VerdictGood, now)
 	silentFor := 0
-	trials := 0
+	probes := 0
 	for range 50 {
 		now = now.Add(100 * time.Millisecond)
 		table.Report("b", fleet.Load{Taken: now, Running: 3})
@@ -77,12 +77,12 @@
 		}
 		got := acquireAt(t, table, now)
 		if got.Replica.ID == "a" {
-			trials++
+			probes++
 		}
 		got.End(fleet.VerdictNone, now)
 	}
-	if trials < 2 || trials > 6 {
-		t.Errorf("a silent replica was probed %d times in over four seconds", trials)
+	if probes < 2 || probes > 6 {
+		t.Errorf("a silent replica was probed %d times in over four seconds", probes)
 	}
 }
 
@@ -103,40 +103,40 @@
 // single one there makes its whole group's passes too long, and that it gets none. A
 // slightly slow rank keeps its requests.
 func TestStreamsLeaveStraggler(t *testing.T) {
-	for pace, crippling := range map[float64]bool{1.5: false, 12: true} {
+	for pace, straggler := range map[float64]bool{1.5: false, 12: true} {
 		now := time.Now()
 		table := newGroupTable(3, fleet.Load{Running: 2, Forecast: fleet.Forecast{Skew: 1.5}}, now)
-		ids := map[catalog.ReplicaID]*fleet.Lease{}
-		moved := 0
-		for len(ids) < 3 {
-			l := table.Acquire(t.Context(), &fleet.Query{Service: grouped, MaxGap: usefulGap, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now})
+		leases := map[catalog.ReplicaID]*fleet.Lease{}
+		rerouted := 0
+		for len(leases) < 3 {
+			l := table.Acquire(t.Context(), &fleet.Query{Service: groupedService, MaxGap: usefulGap, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now})
 			if l == nil {
 				t.Fatal("no free slot")
 			}
-			l.OnReroute(func() { moved++ })
-			ids[l.Replica.ID] = l
+			l.OnReroute(func() { rerouted++ })
+			leases[l.Replica.ID] = l
 		}
 		now = now.Add(100 * time.Millisecond)
-		for id := range ids {
+		for id := range leases {
 			load := fleet.Load{Running: 2, Pace: 1, Forecast: fleet.Forecast{Skew: 1.5}, Taken: now, Pass: 50 * time.Millisecond}
 			if id == "c" {
 				load.Pace = pace
 			}
 			table.Report(replica(id).Address, load)
 		}
-		_, stuck := table.Sweep(now)
-		for _, l := range stuck {
+		_, toReroute := table.Sweep(now)
+		for _, l := range toReroute {
 			if l.Replica.ID != "c" {
 				t.Errorf("a request at %s is rerouted", l.Replica.ID)
 			}
 			l.Reroute()
 		}
-		if (moved > 0) != crippling {
-			t.Errorf("pace %v: %d rerouted", pace, moved)
+		if (rerouted > 0) != straggler {
+			t.Errorf("pace %v: %d rerouted", pace, rerouted)
 		}
 		for range 10 {
-			l := table.Acquire(t.Context(), &fleet.Query{Service: grouped, MaxGap: usefulGap, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now})
-			if l != nil && l.Replica.ID == "c" && crippling {
+			l := table.Acquire(t.Context(), &fleet.Query{Service: groupedService, MaxGap: usefulGap, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now})
+			if l != nil && l.Replica.ID == "c" && straggler {
 				t.Fatal("a straggler that makes all passes too long got a request")
 			}
 		}
@@ -169,8 +169,8 @@
 	}
 	first.OnReroute(func() {})
 	second.RecordResponse(now)
-	changed, stuck := table.Sweep(now)
-	if len(changed) != 1 || changed[0].Replica != first.Replica.ID || !changed[0].Silent || len(stuck) != 1 {
-		t.Errorf("%+v, %d to be rerouted", changed, len(stuck))
+	changed, toReroute := table.Sweep(now)
+	if len(changed) != 1 || changed[0].Replica != first.Replica.ID || !changed[0].Silent || len(toReroute) != 1 {
+		t.Errorf("%+v, %d to be rerouted", changed, len(toReroute))
 	}
 }
--- a/internal/core/fleet/sim_callers_test.go
+++ b/internal/core/fleet/sim_callers_test.go
@@ -11,15 +11,15 @@
 )
 
 // startCallers starts callers at a rate from one time to another.
-func (p *simulation) startCallers(perSecond float64, from, to time.Duration, returned bool) {
+func (p *simulation) startCallers(perSecond float64, from, to time.Duration, retry bool) {
 	random := rand.New(rand.NewPCG(7, uint64(from)))
 	p.callers.Go(func() {
 		time.Sleep(from)
 		for at := from; at < to; {
 			gateway := p.gateways[random.IntN(len(p.gateways))]
 			prompt, length := 300+random.IntN(1140), 8+random.IntN(24)
-			back := time.Duration((1.8 + 0.7*random.Float64()) * float64(time.Second))
-			p.callers.Go(func() { p.runCaller(gateway, prompt, length, back, returned) })
+			retryDelay := time.Duration((1.8 + 0.7*random.Float64()) * float64(time.Second))
+			p.callers.Go(func() { p.runCaller(gateway, prompt, length, retryDelay, retry) })
 			pause := time.Duration(random.ExpFloat64() / perSecond * float64(time.Second))
 			time.Sleep(pause)
 			at += pause
@@ -28,19 +28,19 @@
 }
 
 // runCaller simulates a caller; a refused one retries once.
-func (p *simulation) runCaller(gateway *fleet.Table, prompt, length int, back time.Duration, returned bool) {
+func (p *simulation) runCaller(gateway *fleet.Table, prompt, length int, retryDelay time.Duration, retry bool) {
 	first := time.Now()
-	if returned {
+	if retry {
 		first = first.Add(-time.Second)
 	}
 	for {
-		ok, inTime := p.tryOnce(gateway, prompt, length, first, returned)
-		if ok || returned {
+		ok, inTime := p.tryOnce(gateway, prompt, length, first, retry)
+		if ok || retry {
 			p.countResult(ok, inTime)
 			return
 		}
-		time.Sleep(back)
-		returned = true
+		time.Sleep(retryDelay)
+		retry = true
 	}
 }
 
@@ -59,10 +59,10 @@
 }
 
 // tryOnce simulates one try. The caller disconnects when no event comes for simPatience.
-func (p *simulation) tryOnce(gateway *fleet.Table, prompt, length int, first time.Time, returned bool) (ok, inTime bool) {
+func (p *simulation) tryOnce(gateway *fleet.Table, prompt, length int, first time.Time, retry bool) (ok, inTime bool) {
 	now := time.Now()
-	ctx, leave := context.WithTimeout(p.ctx, simPatience)
-	defer leave()
+	ctx, cancel := context.WithTimeout(p.ctx, simPatience)
+	defer cancel()
 	q := &fleet.Query{Service: simService, MaxGap: simMaxGap, Now: now, RequestedAt: now, Size: catalog.Size{Prompt: graniteknot.Tokens(prompt)}}
 	l := gateway.Acquire(ctx, q, fleet.WaitBounds{FirstEventBy: first.Add(simFirstEventTarget - 25*time.Millisecond), GiveUpAt: now.Add(3 * simFirstEventTarget)})
 	if l == nil {
@@ -76,8 +76,8 @@
 	defer func() { l.End(fleet.VerdictGood, time.Now()) }()
 	now = time.Now()
 	stream := &simStream{unreadPrompt: prompt, eventsLeft: length, events: make(chan time.Time, length)}
-	r := p.rankOf(l.Replica.ID)
-	r.add(stream)
+	rank := p.rankOf(l.Replica.ID)
+	rank.add(stream)
 	last := now
 	waited, firstLate := now.Sub(first), false
 	inTime = true
@@ -93,11 +93,11 @@
 			}
 			last = at
 		case <-time.After(time.Until(last.Add(simPatience))):
-			r.disconnect(stream)
+			rank.disconnect(stream)
 			return false, false
 		}
 	}
-	if !inTime && !returned {
+	if !inTime && !retry {
 		p.countLate(waited, firstLate)
 	}
 	return true, inTime
--- a/internal/core/fleet/sim_engines_test.go
+++ b/internal/core/fleet/sim_engines_test.go
@@ -73,26 +73,26 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := simService.Engine
-	budget, read, writers := e.Chunk*e.Stride, 0, 0
+	budget, read, decoding := e.Chunk*e.Stride, 0, 0
 	for i, s := range r.running {
 		if i >= e.Slots {
 			break
 		}
 		if s.unreadPrompt == 0 {
-			writers++
+			decoding++
 			continue
 		}
 		n := min(s.unreadPrompt, budget)
 		s.unreadPrompt, budget, read = s.unreadPrompt-n, budget-n, read+n
 	}
-	return time.Duration(writers)*e.Writing() + e.Reading(graniteknot.Tokens(read))
+	return time.Duration(decoding)*e.Writing() + e.Reading(graniteknot.Tokens(read))
 }
 
 // endPass sends the events of a pass.
 func (r *simRank) endPass() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var on []*simStream
+	var running []*simStream
 	for i, s := range r.running {
 		if s.disconnected {
 			continue
@@ -102,10 +102,10 @@
 			s.events <- time.Now()
 		}
 		if s.eventsLeft > 0 {
-			on = append(on, s)
+			running = append(running, s)
 		}
 	}
-	r.running = on
+	r.running = running
 }
 
 func (r *simRank) add(s *simStream) {
--- a/internal/core/fleet/simulation_test.go
+++ b/internal/core/fleet/simulation_test.go
@@ -84,17 +84,17 @@
 }
 
 // simulate runs the groups and their reports for a time, and waits for all callers.
-func (p *simulation) simulate(length time.Duration) callerStats {
+func (p *simulation) simulate(duration time.Duration) callerStats {
 	ctx, cancel := context.WithCancel(p.ctx)
-	var world sync.WaitGroup
+	var background sync.WaitGroup
 	for _, g := range p.groups {
-		world.Go(func() { p.runPasses(ctx, g) })
-		world.Go(func() { p.sendReports(ctx, g) })
+		background.Go(func() { p.runPasses(ctx, g) })
+		background.Go(func() { p.sendReports(ctx, g) })
 	}
-	time.Sleep(length)
+	time.Sleep(duration)
 	p.callers.Wait()
 	cancel()
-	world.Wait()
+	background.Wait()
 	return p.result
 }
 
