--- a/internal/core/fleet/feedback.go
+++ b/internal/core/fleet/feedback.go
@@ -43,8 +43,8 @@
 	backoffHeard time.Time
 	// unconfirmed reports that no response has come since the last backoff request.
 	unconfirmed bool
-	// ended reports that the life's record went or another life replaced it; lastBeat
-	// is the record's heartbeat count at that time.
+	// ended reports that the life's record was removed or that another life replaced it;
+	// lastBeat is the record's heartbeat count at that time.
 	ended    bool
 	lastBeat int64
 	// lastHeartbeat is the earliest time at which the ended life's last heartbeat, or
@@ -118,7 +118,7 @@
 	return state
 }
 
-// markEnded records that a life's record went. The caller holds the lock.
+// markEnded records that a life's record was removed. The caller holds the lock.
 func (t *Table) markEnded(x *target) {
 	state := t.lifeOf(x, t.Clock.Now())
 	state.ended, state.lastBeat, state.lastHeartbeat = true, x.replica.Beat, x.writtenAfter
--- a/internal/core/fleet/lease.go
+++ b/internal/core/fleet/lease.go
@@ -6,11 +6,11 @@
 	"graniteknot.org/go/catalog"
 )
 
-// Verdict is what the end of a request tells about its replica.
+// Verdict is what the outcome of a request shows about its replica.
 type Verdict uint8
 
 const (
-	// VerdictNone tells nothing, for example when the caller disconnected.
+	// VerdictNone shows nothing, for example when the caller disconnected.
 	VerdictNone Verdict = iota
 	// VerdictGood is a response.
 	VerdictGood
--- a/internal/core/fleet/limit.go
+++ b/internal/core/fleet/limit.go
@@ -13,8 +13,8 @@
 // limitState is the limit of a life, from feedback to this process or from notices of
 // others.
 type limitState struct {
-	// announced reports whether it announces a limit, which is rate; asOf is the
-	// time of the last response that told, zero if none did.
+	// announced reports whether the life has announced a limit, which is rate; asOf is
+	// the time of the last response that set or cleared it, zero if none did.
 	announced bool
 	rate      quota.Rate
 	asOf      time.Time
--- a/internal/core/fleet/limit_use_test.go
+++ b/internal/core/fleet/limit_use_test.go
@@ -40,8 +40,8 @@
 			const duration, startup, window = 40 * time.Second, 2 * time.Second, 4 * time.Second
 			for g.now.Sub(began) < duration {
 				g.request(func(id string) fleet.Feedback {
-					rate, named := limits[id]
-					return fleet.Feedback{Answered: true, Unlimited: !named, Limit: quota.Word{Named: named, Rate: rate}}
+					rate, limited := limits[id]
+					return fleet.Feedback{Answered: true, Unlimited: !limited, Limit: quota.Word{Named: limited, Rate: rate}}
 				})
 			}
 			for id, rate := range limits {
--- a/internal/core/fleet/overload_test.go
+++ b/internal/core/fleet/overload_test.go
@@ -30,7 +30,7 @@
 func TestRecoveryAfterPowerLoss(t *testing.T) {
 	for _, x := range []struct {
 		gateways, groups, ranks int
-		// perSecond is the rate of steady callers, crowd the number of retries.
+		// perSecond is the rate of steady callers, retries how many come back in the burst.
 		perSecond float64
 		retries   float64
 		// inTime and lost bound shares of callers; fewer callers vary more.
--- a/internal/core/fleet/pass_model.go
+++ b/internal/core/fleet/pass_model.go
@@ -66,8 +66,8 @@
 	return m
 }
 
-// observedWorkFactor derives the work factor from pass times; 0 if no passes are
-// made.
+// observedWorkFactor derives the work factor from pass times; 0 if too little runs to
+// show it.
 func observedWorkFactor(e *catalog.Engine, g *groupLoad) float64 {
 	work := max(g.running, 1) * float64(perRequest(e))
 	observable := g.pass > 0 && (e.Experts == nil || g.running >= minRunningToObserve)
@@ -87,9 +87,9 @@
 }
 
 // gapUnattainable reports whether no pause can be useful, however few the requests;
-// then slots bound the capacity, to answer as many as possible. Without a forecast it
-// is false: right after a group comes up, pass times come with older counts of running
-// requests and say little.
+// then slots bound the capacity, to answer as many as possible. It is false for a group
+// with experts but no forecast: right after a group comes up, pass times are compared
+// with older counts of running requests.
 func (m *passModel) gapUnattainable() bool {
 	if m.maxPass <= 0 || m.engine.PerWriter <= 0 {
 		return true
--- a/internal/core/fleet/silence_test.go
+++ b/internal/core/fleet/silence_test.go
@@ -21,12 +21,12 @@
 	now := time.Now()
 	table.Report("a", fleet.Load{Taken: now})
 	table.Report("b", fleet.Load{Taken: now, Running: 3})
-	stuck := acquireAt(t, table, now)
-	if stuck == nil || stuck.Replica.ID != "a" {
+	lease := acquireAt(t, table, now)
+	if lease == nil || lease.Replica.ID != "a" {
 		t.Fatal("the idle replica was not chosen")
 	}
 	rerouted := false
-	stuck.OnReroute(func() { rerouted = true })
+	lease.OnReroute(func() { rerouted = true })
 	now = now.Add(time.Second)
 	table.Report("b", fleet.Load{Taken: now, Running: 3})
 	changed, leases := table.Sweep(now)
@@ -41,7 +41,7 @@
 		t.Error("a silent replica was chosen")
 	}
 	// Its sidecar is heard again.
-	stuck.End(fleet.VerdictNone, now)
+	lease.End(fleet.VerdictNone, now)
 	table.Report("a", fleet.Load{Taken: now})
 	if changed, _ := table.Sweep(now); len(changed) != 1 || changed[0].Silent {
 		t.Errorf("%+v after a report", changed)
--- a/internal/core/fleet/table.go
+++ b/internal/core/fleet/table.go
@@ -38,20 +38,19 @@
 	targets map[catalog.ReplicaID]*target
 	// reportedLives holds the lives that sidecars reported, by address.
 	reportedLives map[graniteknot.Address]reportedLife
-	// addresses, services and groups index the same targets by address, by service,
-	// and by service and group.
+	// addresses holds the same targets by address.
 	addresses map[graniteknot.Address][]*target
 	// services holds the same targets by service.
 	services map[graniteknot.Service][]*target
 	// groups holds the same targets by service and group.
 	groups map[graniteknot.Service][]*group
-	// queues hold the queued requests by service.
+	// queues holds the queued requests by service.
 	queues map[graniteknot.Service][]*waiter
 	// burstRates are the recent rates of own requests by service.
 	burstRates map[graniteknot.Service]*decayingRate
 	// stats describe own requests to engines by service.
 	stats map[graniteknot.Service]*requestStats
-	// lives holds the feedback from each life, also of those without a record.
+	// lives holds the state of each life, also of those without a record.
 	lives map[catalog.Life]*lifeState
 	// outbox holds the notices and permit requests to send.
 	outbox outbox
