--- a/internal/core/dev/pool.go
+++ b/internal/core/dev/pool.go
@@ -41,9 +41,9 @@
 		Weights: &weights.Store{Rate: weightRate}, Seed: 1,
 	}, firstMap, placement)
 	return &pool{ranks: group, loop: &mapkeeper.Loop{
-		Ranks: group, Planner: &planner.Planner{Shape: shape}, Placement: placement, Period: groupPeriod,
-		Keeper:     &expertmap.Keeper{Incarnation: graniteknot.NewIncarnation(time.Now()), Ranks: groupRanks, First: firstMap, Lead: groupLead},
-		ExpertSize: expertSize, Weights: c.weights,
+		Transport: group, Planner: &planner.Planner{Shape: shape}, Placement: placement, PlanInterval: groupPeriod,
+		Coordinator: &expertmap.Keeper{Incarnation: graniteknot.NewIncarnation(time.Now()), Ranks: groupRanks, First: firstMap, Lead: groupLead},
+		ExpertSize:  expertSize, Weights: c.weights,
 	}}
 }
 
--- a/internal/core/directapp/app.go
+++ b/internal/core/directapp/app.go
@@ -50,7 +50,7 @@
 	log := eventlog.New(p.Lines, p.Config.Box, string(p.Config.Role))
 	born := graniteknot.Incarnation(rand.Uint64())
 	module := fx.Module("gateway",
-		fx.Supply(gateway.Parts{Config: p.Config, Store: p.Store, Translator: p.Translator, Log: log, Lines: p.Lines, Meter: meter.New(), Born: born}),
+		fx.Supply(gateway.Options{Config: p.Config, Store: p.Store, Translator: p.Translator, Log: log, LogWriter: p.Lines, Meter: meter.New(), Incarnation: born}),
 		fx.Provide(fx.Annotate(gateway.New, fx.As(new(role)))), fx.Invoke(run),
 	)
 	if p.Config.Role == directconf.RoleSidecar {
--- a/internal/core/fleet/sample.go
+++ b/internal/core/fleet/sample.go
@@ -43,4 +43,4 @@
 
 // reportPeriod returns the time between two reports of an engine, during which other
 // gateways' requests don't show.
-func (t *Table) reportPeriod() time.Duration { return presence.DigestPeriod(t.gateways) }
+func (t *Table) reportPeriod() time.Duration { return presence.ReportInterval(t.gateways) }
--- a/internal/core/forward/attempt.go
+++ b/internal/core/forward/attempt.go
@@ -36,7 +36,7 @@
 	if !l.Allowed(f.Clock.Now()) {
 		f.Pool.Put(l.Replica.Address, conn)
 		r.withheld = true
-		return stepAgain, fleet.VerdictNone, ReasonResting
+		return stepAgain, fleet.VerdictNone, ReasonReplicaBackoff
 	}
 	stop := context.AfterFunc(r.ctx, conn.Abort)
 	r.move = &mover{conn: conn}
@@ -53,7 +53,7 @@
 		f.Pool.Drop(l.Replica.Address, conn)
 	}()
 	answer, err := conn.Do(&conns.Call{ //nolint:bodyclose // The connection's end or reuse closes it.
-		Method: r.job.Method, Head: f.Dialect.Head(r.outgoing(l)), Body: r.job.Body, Mine: r.mine,
+		Method: r.job.Method, Head: f.Codec.Head(r.outgoing(l)), Body: r.job.Body, Mine: r.mine,
 	})
 	if err != nil {
 		return r.failed(err)
@@ -71,13 +71,13 @@
 
 func (r *run) outgoing(l *fleet.Lease) *Attempt {
 	left := endless
-	if !r.job.End.IsZero() {
-		left = max(r.f.Clock.Until(r.job.End), time.Millisecond)
+	if !r.job.RespondBy.IsZero() {
+		left = max(r.f.Clock.Until(r.job.RespondBy), time.Millisecond)
 	}
-	return &Attempt{Job: r.job, Replica: &l.Replica, Left: left, After: r.after}
+	return &Attempt{RoutedRequest: r.job, Replica: &l.Replica, Timeout: left, LastEventID: r.after}
 }
 
-func (r *run) mine(h http.Header) bool { return r.f.Dialect.Marks(0, h).ID == r.job.ID }
+func (r *run) mine(h http.Header) bool { return r.f.Codec.Marks(0, h).RequestID == r.job.ID }
 
 // unsent acts on a connection that could not be had.
 func (r *run) unsent(err error) (step, fleet.Verdict, Reason) {
@@ -89,14 +89,14 @@
 	if errors.As(err, &e) && e.Kind == conns.KindFull {
 		return stepAgain, fleet.VerdictFull, ReasonBusy
 	}
-	return stepAgain, fleet.VerdictBad, ReasonUnreached
+	return stepAgain, fleet.VerdictBad, ReasonUnreachable
 }
 
 // failed acts on a request that was sent, or partly, and has no answer.
 func (r *run) failed(err error) (step, fleet.Verdict, Reason) {
 	var e *conns.Error
 	if errors.As(err, &e) && e.Kind == conns.KindUnsent {
-		return stepAgain, fleet.VerdictBad, ReasonUnreached
+		return stepAgain, fleet.VerdictBad, ReasonUnreachable
 	}
 	r.mayHaveRun = true
 	if r.ctx.Err() != nil {
@@ -104,18 +104,18 @@
 		return stepDone, fleet.VerdictNone, r.result.Reason
 	}
 	if r.move.end() {
-		return stepAgain, fleet.VerdictNone, ReasonSilent
+		return stepAgain, fleet.VerdictNone, ReasonReplicaSilent
 	}
 	r.broke = true
 	if e != nil && e.Kind == conns.KindSpoiled {
-		return stepAgain, fleet.VerdictBad, ReasonSpoiled
+		return stepAgain, fleet.VerdictBad, ReasonInvalidResponse
 	}
-	return stepAgain, fleet.VerdictBad, ReasonLost
+	return stepAgain, fleet.VerdictBad, ReasonResponseLost
 }
 
 // whole takes an answer that is passed on only when all of it is there.
 func (r *run) whole(l *fleet.Lease, answer *http.Response) (next step, v fleet.Verdict, why Reason, reuse bool) {
-	marks := r.f.Dialect.Marks(answer.StatusCode, answer.Header)
+	marks := r.f.Codec.Marks(answer.StatusCode, answer.Header)
 	if marks.NotRun {
 		_, err := io.Copy(io.Discard, io.LimitReader(answer.Body, maxBody))
 		return stepAgain, refusal(&marks), ReasonRefused, err == nil
@@ -128,12 +128,12 @@
 		return next, v, why, false
 	}
 	if !marks.Sealed || promised(answer.StatusCode) {
-		return stepAgain, fleet.VerdictBad, ReasonSpoiled, true
+		return stepAgain, fleet.VerdictBad, ReasonInvalidResponse, true
 	}
 	a := &reply{status: answer.StatusCode, header: answer.Header, body: body}
 	if answer.StatusCode >= http.StatusInternalServerError && r.job.Route.Repeats() {
 		r.spare = a
-		return stepAgain, fleet.VerdictBad, ReasonLost, true
+		return stepAgain, fleet.VerdictBad, ReasonResponseLost, true
 	}
 	r.give(a)
 	verdict := fleet.VerdictGood
@@ -152,8 +152,8 @@
 	return false
 }
 
-func refusal(m *Marks) fleet.Verdict {
-	if m.Elsewhere {
+func refusal(m *ResponseMetadata) fleet.Verdict {
+	if m.WrongReplica {
 		return fleet.VerdictGone
 	}
 	return fleet.VerdictFull
--- a/internal/core/forward/budgets.go
+++ b/internal/core/forward/budgets.go
@@ -7,9 +7,9 @@
 	"graniteknot.org/go/internal/core/retry"
 )
 
-// Budgets holds this process's part of each service's retry budget. The zero
+// RetryBudgets holds this process's part of each service's retry budget. The zero
 // value allows no retries; set Percent and Burst.
-type Budgets struct {
+type RetryBudgets struct {
 	// Percent is how many retries a hundred first attempts allow.
 	Percent func() int64
 	// Burst is how many retries may be saved up.
@@ -19,16 +19,16 @@
 	services map[graniteknot.Service]*retry.Budget
 }
 
-// First notes a first attempt.
-func (b *Budgets) First(s graniteknot.Service) { b.of(s).First() }
+// RecordFirstAttempt notes a first attempt.
+func (b *RetryBudgets) RecordFirstAttempt(s graniteknot.Service) { b.of(s).RecordFirstAttempt() }
 
-// Left tells whether a retry would be allowed now.
-func (b *Budgets) Left(s graniteknot.Service) bool { return b.of(s).Left() }
+// Available tells whether a retry would be allowed now.
+func (b *RetryBudgets) Available(s graniteknot.Service) bool { return b.of(s).Available() }
 
-// Spend asks for one retry.
-func (b *Budgets) Spend(s graniteknot.Service) bool { return b.of(s).Spend() }
+// Withdraw asks for one retry.
+func (b *RetryBudgets) Withdraw(s graniteknot.Service) bool { return b.of(s).Withdraw() }
 
-func (b *Budgets) of(s graniteknot.Service) *retry.Budget {
+func (b *RetryBudgets) of(s graniteknot.Service) *retry.Budget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.services == nil {
--- a/internal/core/forward/dialect.go
+++ b/internal/core/forward/dialect.go
@@ -11,37 +11,37 @@
 
 // Attempt is a request as it goes to one replica.
 type Attempt struct {
-	*Job
+	*RoutedRequest
 	Replica *catalog.Replica
-	// Left is the time that the replica has.
-	Left time.Duration
-	// After is the last event that the caller has; empty for none.
-	After EventID
+	// Timeout is the time that the replica has.
+	Timeout time.Duration
+	// LastEventID is the last event that the caller has; empty for none.
+	LastEventID EventID
 }
 
-// Marks are what an answer says beside its status and body.
-type Marks struct {
-	// ID is the request that the answer belongs to.
-	ID graniteknot.RequestID
+// ResponseMetadata are what an answer says beside its status and body.
+type ResponseMetadata struct {
+	// RequestID is the request that the answer belongs to.
+	RequestID graniteknot.RequestID
 	// Sealed answers are a replica's own.
 	Sealed bool
 	// NotRun is the replica's word that the request did not run and never will.
 	NotRun bool
-	// Elsewhere tells that another replica has the address; it implies NotRun.
-	Elsewhere bool
-	// Rest is for how long the replica wants nothing from this process, from the answer
+	// WrongReplica tells that another replica has the address; it implies NotRun.
+	WrongReplica bool
+	// RetryAfter is for how long the replica wants nothing from this process, from the answer
 	// on; 0 when it does not say.
-	Rest time.Duration
+	RetryAfter time.Duration
 	// Leaving is the replica's word that it will end as planned.
 	Leaving bool
-	// Limit is what the replica takes from all processes together.
-	Limit quota.Word
+	// RateLimit is what the replica takes from all processes together.
+	RateLimit quota.Word
 }
 
-// Dialect writes requests to replicas and reads their answers' marks.
-type Dialect interface {
+// Codec writes requests to replicas and reads their answers' marks.
+type Codec interface {
 	// Head returns the head of an attempt, with the empty line.
 	Head(a *Attempt) []byte
 	// Marks reads what an answer says.
-	Marks(status int, h http.Header) Marks
+	Marks(status int, h http.Header) ResponseMetadata
 }
--- a/internal/core/forward/endings.go
+++ b/internal/core/forward/endings.go
@@ -104,7 +104,7 @@
 }
 
 // ended notes that a replica ended while it had a request.
-func (f *Forwarder) ended(j *Job, key quarantine.Key, replica *catalog.Replica, suspect bool) {
+func (f *Forwarder) ended(j *RoutedRequest, key quarantine.Key, replica *catalog.Replica, suspect bool) {
 	f.Meter.Count("graniteknot_answers_lost_with_replica_total", meter.Label{Name: "service", Value: string(replica.Service)})
 	fields := []slog.Attr{
 		slog.String("request", string(j.ID)), slog.String("identity", key.String()), slog.String("replica", replica.Life().String()),
@@ -114,12 +114,12 @@
 		fields = append(fields, slog.String("account", string(j.Account.Name)))
 	}
 	if q := f.Quarantine; q != nil {
-		now, note := f.Clock.Now(), q.Ended
+		now, note := f.Clock.Now(), q.RecordCrash
 		if suspect {
-			note = q.EndedUnanswered
+			note = q.RecordCrashBeforeResponse
 		}
 		taken := note(key, replica.Life().Mark(), now)
-		fields = append(fields, slog.Bool("counted", taken), slog.Bool("suspect", suspect), slog.Bool("kept_from_replicas", q.Keeps(key, now)))
+		fields = append(fields, slog.Bool("counted", taken), slog.Bool("suspect", suspect), slog.Bool("kept_from_replicas", q.Blocked(key, now)))
 	}
 	f.Log.Warn("replica ended", fields...)
 }
--- a/internal/core/forward/ends.go
+++ b/internal/core/forward/ends.go
@@ -64,8 +64,8 @@
 	return out
 }
 
-// Expire ends the requests whose time was over while the box was suspended.
-func (f *Forwarder) Expire() {
+// CancelExpired ends the requests whose time was over while the box was suspended.
+func (f *Forwarder) CancelExpired() {
 	if !f.ends.suspended(f.Clock.Ahead()) {
 		return
 	}
--- a/internal/core/forward/forward_test.go
+++ b/internal/core/forward/forward_test.go
@@ -98,8 +98,8 @@
 
 func TestBudgetBoundsRetries(t *testing.T) {
 	r := newRig(t, catalog.KindRepeatable, platformtest.Lose, platformtest.Answer("second"))
-	r.forward.Budgets = &forward.Budgets{}
-	if result := r.do(context.Background()); result.Reason != forward.ReasonBudget || r.ran() != 1 {
+	r.forward.RetryBudgets = &forward.RetryBudgets{}
+	if result := r.do(context.Background()); result.Reason != forward.ReasonRetryBudget || r.ran() != 1 {
 		t.Errorf("%+v, ran %d times", result, r.ran())
 	}
 }
@@ -127,7 +127,7 @@
 	r := newRig(t, catalog.KindStream, platformtest.Stream(3, false), platformtest.Stream(6, true))
 	r.route.Resumable = false
 	result := r.do(context.Background())
-	if result.Outcome != graniteknot.OutcomeUnknown || !result.Begun || r.ran() != 1 {
+	if result.Outcome != graniteknot.OutcomeUnknown || !result.ResponseStarted || r.ran() != 1 {
 		t.Errorf("%+v, ran %d times", result, r.ran())
 	}
 }
@@ -135,12 +135,12 @@
 // TestStaleConfiguration refuses at the first try and at a later one.
 func TestStaleConfiguration(t *testing.T) {
 	r := newRig(t, catalog.KindRepeatable, platformtest.Lose, platformtest.Answer("second"))
-	r.forward.Fresh = func() bool { return r.ran() == 0 }
+	r.forward.ConfigFresh = func() bool { return r.ran() == 0 }
 	result := r.do(context.Background())
-	if result.Reason != forward.ReasonStale || result.Outcome != graniteknot.OutcomeUnknown || r.ran() != 1 {
+	if result.Reason != forward.ReasonStaleConfig || result.Outcome != graniteknot.OutcomeUnknown || r.ran() != 1 {
 		t.Errorf("%+v, ran %d times", result, r.ran())
 	}
-	r.forward.Fresh = func() bool { return false }
+	r.forward.ConfigFresh = func() bool { return false }
 	if result := r.do(context.Background()); result.Outcome != graniteknot.OutcomeNotRun || r.ran() != 1 {
 		t.Errorf("%+v, ran %d times", result, r.ran())
 	}
@@ -161,7 +161,7 @@
 	callers.Go(func() { results <- r.do(ctx) })
 	<-arrived
 	cancel()
-	if result := <-results; result.Reason != forward.ReasonCallerGone {
+	if result := <-results; result.Reason != forward.ReasonClientGone {
 		t.Errorf("%+v", result)
 	}
 	<-ended
@@ -172,7 +172,7 @@
 		x.Run()
 		x.WaitClosed()
 	})
-	job := &forward.Job{Request: r.request, Route: r.route, Service: &catalog.Service{Name: "s"}, End: time.Now().Add(50 * time.Millisecond)}
+	job := &forward.RoutedRequest{Request: r.request, Route: r.route, Service: &catalog.Service{Name: "s"}, RespondBy: time.Now().Add(50 * time.Millisecond)}
 	result := r.forward.Do(context.Background(), job, r.sink)
 	if result.Reason != forward.ReasonTimeout || result.Outcome != graniteknot.OutcomeUnknown {
 		t.Errorf("%+v", result)
@@ -217,7 +217,7 @@
 	callers.Go(func() { first <- r.do(ctx) })
 	<-arrived
 	other := &sink{}
-	job := &forward.Job{Request: r.request, Route: r.route, Service: &catalog.Service{Name: "s"}, End: time.Now().Add(long)}
+	job := &forward.RoutedRequest{Request: r.request, Route: r.route, Service: &catalog.Service{Name: "s"}, RespondBy: time.Now().Add(long)}
 	if result := r.forward.Do(context.Background(), job, other); result.Outcome != graniteknot.OutcomeNotRun || result.Reason != forward.ReasonBusy {
 		t.Errorf("%+v", result)
 	}
--- a/internal/core/forward/forwarder.go
+++ b/internal/core/forward/forwarder.go
@@ -17,19 +17,19 @@
 
 // Forwarder takes requests to replicas. Set the exported fields.
 type Forwarder struct {
-	Dialect Dialect
-	Pool    *conns.Pool
-	Fleet   *fleet.Table
-	Budgets *Budgets
-	Log     *eventlog.Log
-	Meter   *meter.Meter
-	Zone    graniteknot.AvailabilityZone
+	Codec        Codec
+	Pool         *conns.Pool
+	Fleet        *fleet.Table
+	RetryBudgets *RetryBudgets
+	Log          *eventlog.Log
+	Meter        *meter.Meter
+	Zone         graniteknot.AvailabilityZone
 	// Clock is what ages and deadlines are decided by.
 	Clock graniteknot.AgeClock
-	// Fresh tells whether the configuration is new enough to trust a key.
-	Fresh func() bool
-	// Returns knows which callers come back.
-	Returns Returns
+	// ConfigFresh tells whether the configuration is new enough to trust a key.
+	ConfigFresh func() bool
+	// RetryDetector knows which callers come back.
+	RetryDetector RetryDetector
 	// ConnLimit bounds this process's connections to one replica of a service.
 	ConnLimit func(*catalog.Service) int
 	// Quarantine knows which requests are kept from replicas; nil for none.
@@ -53,14 +53,14 @@
 var errTimeout = errors.New("the request's time is over")
 
 // Do takes a job to its one result.
-func (f *Forwarder) Do(caller context.Context, j *Job, sink Sink) Result {
+func (f *Forwarder) Do(caller context.Context, j *RoutedRequest, sink Sink) Result {
 	ctx, cancel := context.WithCancelCause(caller)
 	defer cancel(nil)
-	if !j.End.IsZero() {
-		defer f.ends.begin(j.End, f.Clock.Until(j.End), func() { cancel(errTimeout) })()
+	if !j.RespondBy.IsZero() {
+		defer f.ends.begin(j.RespondBy, f.Clock.Until(j.RespondBy), func() { cancel(errTimeout) })()
 	}
-	r := &run{f: f, job: j, sink: sink, ctx: ctx, after: j.After}
-	r.result.Since = f.Returns.Since(j.Route, j.Request)
+	r := &run{f: f, job: j, sink: sink, ctx: ctx, after: j.LastEventID}
+	r.result.SinceFirstTry = f.RetryDetector.SinceFirstTry(j.Route, j.Request)
 	r.take()
 	r.answered()
 	return r.result
@@ -69,7 +69,7 @@
 // run is one request on its way.
 type run struct {
 	f    *Forwarder
-	job  *Job
+	job  *RoutedRequest
 	sink Sink
 	ctx  context.Context //nolint:containedctx // It is the request's own life.
 
@@ -91,7 +91,7 @@
 	// request waited for a connection.
 	withheld bool
 	// said is what the last attempt's answer said of its replica.
-	said Marks
+	said ResponseMetadata
 	// identity is the request's key once it was needed.
 	identity *quarantine.Key
 }
@@ -116,7 +116,7 @@
 // take makes attempts until one settles the request.
 func (r *run) take() {
 	f := r.f
-	f.Budgets.First(r.job.Service.Name)
+	f.RetryBudgets.RecordFirstAttempt(r.job.Service.Name)
 	for {
 		if why, ok := r.mayTry(); !ok {
 			r.giveUp(why)
@@ -133,7 +133,7 @@
 			return
 		}
 		r.result.Attempts++
-		r.broke, r.withheld, r.said = false, false, Marks{}
+		r.broke, r.withheld, r.said = false, false, ResponseMetadata{}
 		r.result.Replica = lease.Replica.Life().String()
 		next, verdict, why := r.attempt(lease)
 		lease.End(verdict, f.Clock.Now())
@@ -165,8 +165,8 @@
 // first try. A stream that is broken in the middle waits as one that has just come: its
 // caller counts the pause.
 func (r *run) waiting() fleet.WaitBounds {
-	from, first := r.job.Arrived, r.job.Arrived.Add(-r.result.Since)
-	if r.result.Begun {
+	from, first := r.job.ReceivedAt, r.job.ReceivedAt.Add(-r.result.SinceFirstTry)
+	if r.result.ResponseStarted {
 		from, first = r.lastPart, r.lastPart
 	}
 	return fleet.WaitBounds{
@@ -185,9 +185,9 @@
 	}
 	if r.f.Fleet.TimeUntilAvailable(r.query()) > 0 {
 		if r.f.Fleet.AllLimited(r.job.Service.Name, r.f.Clock.Now()) {
-			return ReasonLimited
+			return ReasonRateLimited
 		}
-		return ReasonResting
+		return ReasonReplicaBackoff
 	}
 	if all, _ := r.f.Fleet.Count(r.job.Service.Name, r.f.Clock.Now()); all == 0 {
 		return ReasonNoReplica
@@ -203,8 +203,8 @@
 		return r.stopReason(), false
 	case r.over():
 		return ReasonTimeout, false
-	case r.job.Account != nil && !r.f.Fresh():
-		return ReasonStale, false
+	case r.job.Account != nil && !r.f.ConfigFresh():
+		return ReasonStaleConfig, false
 	case r.quarantined():
 		return ReasonQuarantined, false
 	}
@@ -225,27 +225,29 @@
 	if r.mayHaveRun && !r.job.Route.Repeats() {
 		return r.result.Reason, false
 	}
-	if !r.f.Budgets.Spend(r.job.Service.Name) {
-		return ReasonBudget, false
+	if !r.f.RetryBudgets.Withdraw(r.job.Service.Name) {
+		return ReasonRetryBudget, false
 	}
 	return ReasonNone, true
 }
 
 // over tells whether the request's time is over, also where the timer for that stood still.
-func (r *run) over() bool { return !r.job.End.IsZero() && !r.f.Clock.Exact().Before(r.job.End) }
+func (r *run) over() bool {
+	return !r.job.RespondBy.IsZero() && !r.f.Clock.Exact().Before(r.job.RespondBy)
+}
 
 // stopReason says why the request's context ended.
 func (r *run) stopReason() Reason {
 	if errors.Is(context.Cause(r.ctx), errTimeout) {
 		return ReasonTimeout
 	}
-	return ReasonCallerGone
+	return ReasonClientGone
 }
 
 // first notes the first byte of the answer.
 func (r *run) first() {
-	if r.result.First == 0 {
-		r.result.First = r.f.Clock.Since(r.job.Arrived)
+	if r.result.FirstByte == 0 {
+		r.result.FirstByte = r.f.Clock.Since(r.job.ReceivedAt)
 	}
 }
 
@@ -259,7 +261,7 @@
 	fields := []slog.Attr{
 		slog.String("request", string(r.job.ID)), slog.Int("attempt", r.result.Attempts),
 		slog.String("replica", l.Replica.Life().String()), slog.String("address", string(l.Replica.Address)),
-		slog.String("verdict", v.String()), eventlog.Milliseconds("since_arrival", r.f.Clock.Since(r.job.Arrived)),
+		slog.String("verdict", v.String()), eventlog.Milliseconds("since_arrival", r.f.Clock.Since(r.job.ReceivedAt)),
 		slog.Int("own", in.Own), slog.Int("others", in.Others), slog.Int("room", in.Capacity), slog.Float64("skew", in.Skew), slog.Bool("trial", in.Probe),
 		eventlog.Milliseconds("pass", in.Pass), eventlog.Milliseconds("report_age", in.ReportAge), eventlog.Milliseconds("waited", in.Waited),
 	}
--- a/internal/core/forward/giveup.go
+++ b/internal/core/forward/giveup.go
@@ -8,7 +8,7 @@
 
 // giveUp settles a request that gets no answer of its own.
 func (r *run) giveUp(why Reason) {
-	if r.spare != nil && !r.result.Begun && why != ReasonCallerGone {
+	if r.spare != nil && !r.result.ResponseStarted && why != ReasonClientGone {
 		r.give(r.spare)
 		return
 	}
@@ -16,7 +16,7 @@
 	r.result.Outcome = graniteknot.OutcomeUnknown
 	if !r.mayHaveRun {
 		r.result.Outcome = graniteknot.OutcomeNotRun
-		r.result.Again = r.again(why)
+		r.result.RetryAfter = r.again(why)
 	}
 }
 
@@ -25,7 +25,7 @@
 // been served. What one replica asked for says nothing of the others, which may have room.
 func (r *run) again(why Reason) time.Duration {
 	q := r.query()
-	if why == ReasonLimited {
+	if why == ReasonRateLimited {
 		return r.f.Fleet.RetryDelay(q)
 	}
 	rested := r.f.Fleet.TimeUntilAvailable(q)
@@ -41,9 +41,9 @@
 	r.result.Status = a.status
 	r.result.Reason = ReasonNone
 	r.result.Outcome = graniteknot.OutcomeAnswered
-	r.result.Begun = true
-	if err := r.sink.Whole(a.status, a.header, a.body); err != nil {
+	r.result.ResponseStarted = true
+	if err := r.sink.WriteResponse(a.status, a.header, a.body); err != nil {
 		r.result.Outcome = graniteknot.OutcomeUnknown
-		r.result.Reason = ReasonCallerGone
+		r.result.Reason = ReasonClientGone
 	}
 }
--- a/internal/core/forward/mover.go
+++ b/internal/core/forward/mover.go
@@ -41,7 +41,7 @@
 
 // moveIfAllowed breaks the attempt off if another one would be allowed.
 func (r *run) moveIfAllowed() {
-	if r.f.Budgets.Left(r.job.Service.Name) {
+	if r.f.RetryBudgets.Available(r.job.Service.Name) {
 		r.move.move()
 	}
 }
--- a/internal/core/forward/quarantined.go
+++ b/internal/core/forward/quarantined.go
@@ -27,7 +27,7 @@
 // quarantined tells whether the request is kept from replicas.
 func (r *run) quarantined() bool {
 	q := r.f.Quarantine
-	return q != nil && !q.Empty() && q.Keeps(r.key(), r.f.Clock.Now())
+	return q != nil && !q.Empty() && q.Blocked(r.key(), r.f.Clock.Now())
 }
 
 // acquire waits for a place at a replica; nil when there is none in time, or the request
@@ -35,7 +35,7 @@
 func (r *run) acquire() *fleet.Lease {
 	ctx := r.ctx
 	if q := r.f.Quarantine; q != nil && !q.Empty() {
-		while, done := q.While(ctx, r.key(), r.f.Clock.Now())
+		while, done := q.CancelOnBlock(ctx, r.key(), r.f.Clock.Now())
 		defer done()
 		ctx = while
 	}
@@ -46,6 +46,6 @@
 func (r *run) answered() {
 	q := r.f.Quarantine
 	if r.result.Outcome == graniteknot.OutcomeAnswered && q != nil {
-		q.Answered(r.key(), r.f.Clock.Now())
+		q.RecordResponse(r.key(), r.f.Clock.Now())
 	}
 }
--- a/internal/core/forward/quarantined_test.go
+++ b/internal/core/forward/quarantined_test.go
@@ -57,9 +57,9 @@
 		t.Fatalf("%+v", result)
 	}
 	key := quarantine.KeyOf("/p/x", "desk", []byte("question"))
-	table.Ended(key, 77, time.Now())
-	table.Ended(key, 78, time.Now())
-	if table.Blocks(key) {
+	table.RecordCrash(key, 77, time.Now())
+	table.RecordCrash(key, 78, time.Now())
+	if table.Quarantined(key) {
 		t.Error("a request that was answered is kept from replicas")
 	}
 }
@@ -71,20 +71,20 @@
 	table := &quarantine.Table{}
 	r.forward.Quarantine = table
 	key := quarantine.KeyOf("/p/x", "desk", []byte("question"))
-	table.Ended(key, 1, time.Now())
+	table.RecordCrash(key, 1, time.Now())
 	service := &catalog.Service{Name: "s", Engine: &catalog.Engine{Slots: 1, Stride: 1}}
 	// A report of a group that does not run stands for as long as the test does.
 	r.forward.Fleet.Report(r.replicas[0].Address(), fleet.Load{GroupDown: true, Taken: time.Now().Add(time.Hour)})
 	r.route.Aim = long
-	job := &forward.Job{
-		Request: r.request, Route: r.route, Service: service, Account: &catalog.Account{Name: "desk"}, End: time.Now().Add(long),
+	job := &forward.RoutedRequest{
+		Request: r.request, Route: r.route, Service: service, Account: &catalog.Account{Name: "desk"}, RespondBy: time.Now().Add(long),
 	}
 	var told group.Group
 	told.Go(func(ctx context.Context) {
 		for r.forward.Fleet.Queued(service) == 0 && ctx.Err() == nil {
 			delay.For(ctx, time.Millisecond)
 		}
-		table.Ended(key, 2, time.Now())
+		table.RecordCrash(key, 2, time.Now())
 	})
 	defer told.Stop()
 	if result := r.forward.Do(context.Background(), job, r.sink); result.Reason != forward.ReasonQuarantined || r.ran() != 0 {
@@ -118,7 +118,7 @@
 			r.grouped()
 		}
 		told := &quarantine.Table{}
-		r.forward.Quarantine = &quarantine.Table{Changed: func(e quarantine.Entry) { told.Merge(&e, time.Now()) }}
+		r.forward.Quarantine = &quarantine.Table{OnChange: func(e quarantine.Entry) { told.Merge(&e, time.Now()) }}
 		for range 3 {
 			if result := r.do(context.Background()); result.Outcome != graniteknot.OutcomeAnswered {
 				t.Fatalf("%+v", result)
@@ -135,7 +135,7 @@
 			t.Errorf("grouped %v: %+v", grouped, last)
 		}
 		key := quarantine.KeyOf("/p/x", "desk", []byte("question"))
-		if told.Keeps(key, time.Now()) || told.Blocks(key) {
+		if told.Blocked(key, time.Now()) || told.Quarantined(key) {
 			t.Errorf("grouped %v: another process keeps it", grouped)
 		}
 	}
--- a/internal/core/forward/result.go
+++ b/internal/core/forward/result.go
@@ -12,56 +12,56 @@
 // The reasons.
 const (
 	ReasonNone Reason = ""
-	// ReasonStale is a configuration that is too old to trust a key.
-	ReasonStale Reason = "stale-configuration"
+	// ReasonStaleConfig is a configuration that is too old to trust a key.
+	ReasonStaleConfig Reason = "stale-configuration"
 	// ReasonNoReplica is a service without a usable replica.
 	ReasonNoReplica Reason = "no-replica"
 	// ReasonBusy is a service whose replicas have no room in time.
 	ReasonBusy Reason = "busy"
 	// ReasonRefused is a replica's word that it did not run the request.
 	ReasonRefused Reason = "refused-by-replica"
-	// ReasonUnreached are replicas that could not be connected to.
-	ReasonUnreached Reason = "unreached"
-	// ReasonLost is an answer that did not come, or not whole.
-	ReasonLost Reason = "answer-lost"
-	// ReasonSpoiled is an answer that can't be trusted.
-	ReasonSpoiled Reason = "answer-spoiled"
+	// ReasonUnreachable are replicas that could not be connected to.
+	ReasonUnreachable Reason = "unreached"
+	// ReasonResponseLost is an answer that did not come, or not whole.
+	ReasonResponseLost Reason = "answer-lost"
+	// ReasonInvalidResponse is an answer that can't be trusted.
+	ReasonInvalidResponse Reason = "answer-spoiled"
 	// ReasonTimeout is the end of the request's time.
 	ReasonTimeout Reason = "timeout"
-	// ReasonCallerGone is a caller that left.
-	ReasonCallerGone Reason = "caller-gone"
-	// ReasonSilent is a replica that was cut off, whose request was moved.
-	ReasonSilent Reason = "replica-silent"
+	// ReasonClientGone is a caller that left.
+	ReasonClientGone Reason = "caller-gone"
+	// ReasonReplicaSilent is a replica that was cut off, whose request was moved.
+	ReasonReplicaSilent Reason = "replica-silent"
 	// ReasonQuarantined is a request that ends the replicas that run it.
 	ReasonQuarantined Reason = "ends-replicas"
-	// ReasonResting are replicas that all asked this process for rest.
-	ReasonResting Reason = "replicas-rest"
-	// ReasonLimited are replicas that all named a limit, of which this process has no part now.
-	ReasonLimited Reason = "replicas-limited"
-	// ReasonBudget is an empty retry budget.
-	ReasonBudget Reason = "retry-budget"
+	// ReasonReplicaBackoff are replicas that all asked this process for rest.
+	ReasonReplicaBackoff Reason = "replicas-rest"
+	// ReasonRateLimited are replicas that all named a limit, of which this process has no part now.
+	ReasonRateLimited Reason = "replicas-limited"
+	// ReasonRetryBudget is an empty retry budget.
+	ReasonRetryBudget Reason = "retry-budget"
 )
 
 // Result is how a request ended.
 type Result struct {
 	Outcome graniteknot.Outcome
 	Reason  Reason
-	// Begun tells that a part of the answer was passed on.
-	Begun bool
-	// Again is when to come back, for requests that did not run.
-	Again time.Duration
+	// ResponseStarted tells that a part of the answer was passed on.
+	ResponseStarted bool
+	// RetryAfter is when to come back, for requests that did not run.
+	RetryAfter time.Duration
 	// Status is the answer's, 0 without one.
 	Status   int
 	Attempts int
-	// First is the time from arrival to the first byte of the answer.
-	First time.Duration
-	// Pause is the longest time between two parts of a stream.
-	Pause time.Duration
-	// PauseAt is when the longest one ended, from arrival on.
-	PauseAt time.Duration
-	// Since is how long before this try at least its caller first tried; 0 where this may
+	// FirstByte is the time from arrival to the first byte of the answer.
+	FirstByte time.Duration
+	// MaxPause is the longest time between two parts of a stream.
+	MaxPause time.Duration
+	// MaxPauseAt is when the longest one ended, from arrival on.
+	MaxPauseAt time.Duration
+	// SinceFirstTry is how long before this try at least its caller first tried; 0 where this may
 	// be the first.
-	Since time.Duration
+	SinceFirstTry time.Duration
 	// Identity is the same for all requests that are the same but for their ids; empty
 	// where it was not needed.
 	Identity string
--- a/internal/core/forward/returns.go
+++ b/internal/core/forward/returns.go
@@ -18,23 +18,23 @@
 	mostRoutes = 4096
 )
 
-// Returns knows which callers come back. A caller states how long it will wait, on a later
+// RetryDetector knows which callers come back. A caller states how long it will wait, on a later
 // try so much less as has passed since the first. Who comes back has waited already, and
 // mostly has no other try left. One that comes back soon looks like one that begins. The zero
 // value takes each route's first caller for one that begins.
-type Returns struct {
+type RetryDetector struct {
 	mu sync.Mutex
 	// longest is the longest wait that a caller of a route stated.
 	longest map[string]time.Duration
 }
 
-// Since returns how long ago at least a request's caller first tried; 0 where it may be its
+// SinceFirstTry returns how long ago at least a request's caller first tried; 0 where it may be its
 // first try, or it states no deadline.
-func (r *Returns) Since(route *catalog.Route, request *Request) time.Duration {
+func (r *RetryDetector) SinceFirstTry(route *catalog.Route, request *Request) time.Duration {
 	if request.Deadline.IsZero() {
 		return 0
 	}
-	left := request.Deadline.Sub(request.Arrived)
+	left := request.Deadline.Sub(request.ReceivedAt)
 	longest := float64(r.learn(route.Name, left))
 	if float64(left) >= returnedBelow*longest {
 		return 0
@@ -43,7 +43,7 @@
 }
 
 // learn takes in what a caller stated and returns the longest of its route.
-func (r *Returns) learn(route string, left time.Duration) time.Duration {
+func (r *RetryDetector) learn(route string, left time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.longest == nil || len(r.longest) > mostRoutes {
--- a/internal/core/forward/returns_test.go
+++ b/internal/core/forward/returns_test.go
@@ -11,14 +11,14 @@
 // TestReturnsAreKnown tells a caller that comes back from one that begins by the time that
 // it has left, each route for itself.
 func TestReturnsAreKnown(t *testing.T) {
-	var r forward.Returns
+	var r forward.RetryDetector
 	now := time.Now()
 	since := func(route string, left time.Duration) time.Duration {
-		request := &forward.Request{Arrived: now}
+		request := &forward.Request{ReceivedAt: now}
 		if left > 0 {
 			request.Deadline = now.Add(left)
 		}
-		return r.Since(&catalog.Route{Name: route}, request)
+		return r.SinceFirstTry(&catalog.Route{Name: route}, request)
 	}
 	for _, x := range []struct {
 		route      string
--- a/internal/core/forward/rig_test.go
+++ b/internal/core/forward/rig_test.go
@@ -33,7 +33,7 @@
 
 var errGone = errors.New("gone")
 
-func (s *sink) Whole(status int, h http.Header, body []byte) error {
+func (s *sink) WriteResponse(status int, h http.Header, body []byte) error {
 	if s.gone {
 		return errGone
 	}
@@ -42,7 +42,7 @@
 	return nil
 }
 
-func (s *sink) Begin(status int, h http.Header) error {
+func (s *sink) BeginStream(status int, h http.Header) error {
 	if s.gone {
 		return errGone
 	}
@@ -50,7 +50,7 @@
 	return nil
 }
 
-func (s *sink) Events(b []byte) error {
+func (s *sink) WriteEvents(b []byte) error {
 	s.body.Write(b)
 	return nil
 }
@@ -88,21 +88,21 @@
 	pool := &conns.Pool{}
 	t.Cleanup(pool.Close)
 	r.forward = &forward.Forwarder{
-		Dialect: platform.Dialect{}, Pool: pool, Fleet: table, Zone: "z0", Fresh: func() bool { return true },
-		ConnLimit: func(*catalog.Service) int { return 0 },
-		Budgets:   &forward.Budgets{Percent: func() int64 { return 100 }, Burst: func() float64 { return 20 }},
+		Codec: platform.Dialect{}, Pool: pool, Fleet: table, Zone: "z0", ConfigFresh: func() bool { return true },
+		ConnLimit:    func(*catalog.Service) int { return 0 },
+		RetryBudgets: &forward.RetryBudgets{Percent: func() int64 { return 100 }, Burst: func() float64 { return 20 }},
 	}
 	r.request = &forward.Request{
-		ID: "a1", Method: http.MethodPost, Target: "/p/x?q=1", Host: "h", Path: "/p/x", Header: http.Header{"X-Own": {"v"}},
-		Body: []byte("question"), Arrived: time.Now(),
+		ID: "a1", Method: http.MethodPost, RequestURI: "/p/x?q=1", Host: "h", Path: "/p/x", Header: http.Header{"X-Own": {"v"}},
+		Body: []byte("question"), ReceivedAt: time.Now(),
 	}
 	return r
 }
 
 func (r *rig) do(ctx context.Context) forward.Result {
-	job := &forward.Job{
+	job := &forward.RoutedRequest{
 		Request: r.request, Route: r.route, Service: &catalog.Service{Name: "s"},
-		Account: &catalog.Account{Name: "desk"}, End: time.Now().Add(long),
+		Account: &catalog.Account{Name: "desk"}, RespondBy: time.Now().Add(long),
 	}
 	return r.forward.Do(ctx, job, r.sink)
 }
--- a/internal/core/forward/sink.go
+++ b/internal/core/forward/sink.go
@@ -4,10 +4,10 @@
 
 // Sink is where an answer goes. An error means that the caller is gone.
 type Sink interface {
-	// Whole passes a whole answer on.
-	Whole(status int, h http.Header, body []byte) error
-	// Begin passes the head of a stream on.
-	Begin(status int, h http.Header) error
-	// Events passes whole events on at once.
-	Events(b []byte) error
+	// WriteResponse passes a whole answer on.
+	WriteResponse(status int, h http.Header, body []byte) error
+	// BeginStream passes the head of a stream on.
+	BeginStream(status int, h http.Header) error
+	// WriteEvents passes whole events on at once.
+	WriteEvents(b []byte) error
 }
--- a/internal/core/forward/stream.go
+++ b/internal/core/forward/stream.go
@@ -15,10 +15,10 @@
 
 // stream passes the events of an answer on as they come.
 func (r *run) stream(l *fleet.Lease, answer *http.Response) (next step, v fleet.Verdict, why Reason, reuse bool) {
-	marks := r.f.Dialect.Marks(answer.StatusCode, answer.Header)
+	marks := r.f.Codec.Marks(answer.StatusCode, answer.Header)
 	r.mayHaveRun = true
 	if !marks.Sealed {
-		return stepAgain, fleet.VerdictBad, ReasonSpoiled, false
+		return stepAgain, fleet.VerdictBad, ReasonInvalidResponse, false
 	}
 	events := splitter{}
 	buffer := make([]byte, readSize)
@@ -27,7 +27,7 @@
 		if whole := events.add(buffer[:n]); len(whole) > 0 {
 			l.RecordResponse(r.f.Clock.Now())
 			if gone := r.pass(answer, whole, events.last); gone {
-				return stepDone, fleet.VerdictNone, ReasonCallerGone, false
+				return stepDone, fleet.VerdictNone, ReasonClientGone, false
 			}
 		}
 		if err == nil {
@@ -43,8 +43,8 @@
 
 // ended settles a stream that its replica ended.
 func (r *run) ended(answer *http.Response) (step, fleet.Verdict, Reason, bool) {
-	if !r.result.Begun && !r.begin(answer) {
-		return stepDone, fleet.VerdictNone, ReasonCallerGone, false
+	if !r.result.ResponseStarted && !r.begin(answer) {
+		return stepDone, fleet.VerdictNone, ReasonClientGone, false
 	}
 	r.finish(answer.StatusCode)
 	return stepDone, fleet.VerdictGood, ReasonNone, true
@@ -52,7 +52,7 @@
 
 // pass gives whole events to the caller; true when the caller is gone.
 func (r *run) pass(answer *http.Response, whole []byte, last EventID) (gone bool) {
-	if !r.result.Begun && !r.begin(answer) {
+	if !r.result.ResponseStarted && !r.begin(answer) {
 		return true
 	}
 	now := r.f.Clock.Now()
@@ -60,8 +60,8 @@
 		r.paused(now)
 	}
 	r.lastPart = now
-	if err := r.sink.Events(whole); err != nil {
-		r.giveUp(ReasonCallerGone)
+	if err := r.sink.WriteEvents(whole); err != nil {
+		r.giveUp(ReasonClientGone)
 		return true
 	}
 	if last != "" {
@@ -72,19 +72,19 @@
 
 // paused takes in the time since the last part.
 func (r *run) paused(now time.Time) {
-	if pause := now.Sub(r.lastPart); pause > r.result.Pause {
-		r.result.Pause, r.result.PauseAt = pause, now.Sub(r.job.Arrived)
+	if pause := now.Sub(r.lastPart); pause > r.result.MaxPause {
+		r.result.MaxPause, r.result.MaxPauseAt = pause, now.Sub(r.job.ReceivedAt)
 	}
 }
 
 // begin passes the head of a stream on; false when the caller is gone.
 func (r *run) begin(answer *http.Response) bool {
 	r.first()
-	if err := r.sink.Begin(answer.StatusCode, answer.Header); err != nil {
-		r.giveUp(ReasonCallerGone)
+	if err := r.sink.BeginStream(answer.StatusCode, answer.Header); err != nil {
+		r.giveUp(ReasonClientGone)
 		return false
 	}
-	r.result.Begun = true
+	r.result.ResponseStarted = true
 	r.result.Status = answer.StatusCode
 	return true
 }
--- a/internal/core/forward/suspect_test.go
+++ b/internal/core/forward/suspect_test.go
@@ -57,10 +57,10 @@
 			}
 			r.request.Body = []byte("question")
 			away.Store(int64(time.Minute + time.Second))
-			r.request.Arrived = clock.Now()
-			job := &forward.Job{
+			r.request.ReceivedAt = clock.Now()
+			job := &forward.RoutedRequest{
 				Request: r.request, Route: r.route, Service: &catalog.Service{Name: "s"},
-				Account: &catalog.Account{Name: "desk"}, End: clock.Now().Add(long),
+				Account: &catalog.Account{Name: "desk"}, RespondBy: clock.Now().Add(long),
 			}
 			if result := r.forward.Do(context.Background(), job, r.sink); result.Outcome != graniteknot.OutcomeAnswered {
 				t.Errorf("a minute later: %+v", result)
--- a/internal/core/forward/suspension_test.go
+++ b/internal/core/forward/suspension_test.go
@@ -38,11 +38,11 @@
 }
 
 // waitsForPlace is a job for an engine.
-func (r *rig) waitsForPlace() *forward.Job {
+func (r *rig) waitsForPlace() *forward.RoutedRequest {
 	r.route.Aim = long
-	return &forward.Job{
+	return &forward.RoutedRequest{
 		Request: r.request, Route: r.route, Service: &catalog.Service{Name: "s", Engine: &catalog.Engine{Slots: 1, Stride: 1}},
-		Account: &catalog.Account{Name: "desk"}, End: time.Now().Add(long),
+		Account: &catalog.Account{Name: "desk"}, RespondBy: time.Now().Add(long),
 	}
 }
 
@@ -54,12 +54,12 @@
 		stale     bool
 		reason    forward.Reason
 	}{
-		"key too old":           {0, true, forward.ReasonStale},
+		"key too old":           {0, true, forward.ReasonStaleConfig},
 		"suspended for 0.5 s":   {500 * time.Millisecond, false, forward.ReasonNone},
 		"suspended for 3 s":     {3 * time.Second, false, forward.ReasonNone},
 		"suspended for 30 s":    {30 * time.Second, false, forward.ReasonTimeout},
 		"both, in that order":   {30 * time.Second, true, forward.ReasonTimeout},
-		"stale and a short one": {500 * time.Millisecond, true, forward.ReasonStale},
+		"stale and a short one": {500 * time.Millisecond, true, forward.ReasonStaleConfig},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, catalog.KindRepeatable, platformtest.Answer("first"))
@@ -67,7 +67,7 @@
 			clock := graniteknot.AgeClock{Suspension: &away}
 			r.forward.Clock, r.forward.Fleet.Clock = clock, clock
 			var stale atomic.Bool
-			r.forward.Fresh = func() bool { return !stale.Load() }
+			r.forward.ConfigFresh = func() bool { return !stale.Load() }
 			job := r.waitsForPlace()
 			r.whileWaiting(t, job.Service, func() {
 				away.Add(int64(c.suspended))
@@ -100,7 +100,7 @@
 		waits.Go(func(context.Context) {
 			<-begun
 			away.Add(int64(suspended))
-			r.forward.Expire()
+			r.forward.CancelExpired()
 			if !ends {
 				close(release)
 			}
--- a/internal/core/forward/word.go
+++ b/internal/core/forward/word.go
@@ -12,29 +12,29 @@
 // heed takes in what an answer says of its replica, from its head on and whatever the answer
 // is: the word is about the replica, and binds all other requests too.
 func (r *run) heed(l *fleet.Lease, answer *http.Response) {
-	r.said = r.f.Dialect.Marks(answer.StatusCode, answer.Header)
-	if r.said.Elsewhere {
+	r.said = r.f.Codec.Marks(answer.StatusCode, answer.Header)
+	if r.said.WrongReplica {
 		// It is another replica's.
 		return
 	}
 	answered := r.said.Sealed && !r.said.NotRun
 	word := fleet.Feedback{
-		Backoff: r.said.Rest, Leaving: r.said.Leaving, Limit: r.said.Limit,
-		Answered: answered, Unlimited: answered && !r.said.Limit.Named && !r.said.Limit.Odd,
+		Backoff: r.said.RetryAfter, Leaving: r.said.Leaving, Limit: r.said.RateLimit,
+		Answered: answered, Unlimited: answered && !r.said.RateLimit.Named && !r.said.RateLimit.Odd,
 	}
 	if l.ApplyFeedback(word, r.f.Clock.Now()) {
 		r.f.Log.Info("replica said", append(said(&r.said), slog.String("replica", l.Replica.Life().String()))...)
 	}
-	if r.said.Rest > 0 {
+	if r.said.RetryAfter > 0 {
 		r.countWord(l, "rest")
 	}
 	if r.said.Leaving {
 		r.countWord(l, "leaving")
 	}
 	switch {
-	case r.said.Limit.Odd:
+	case r.said.RateLimit.Odd:
 		r.countWord(l, "odd limit")
-	case r.said.Limit.Named:
+	case r.said.RateLimit.Named:
 		r.countWord(l, "limit")
 	}
 }
@@ -46,18 +46,18 @@
 }
 
 // said are the fields of an attempt's line for what the replica said of itself.
-func said(m *Marks) []slog.Attr {
+func said(m *ResponseMetadata) []slog.Attr {
 	var out []slog.Attr
-	if m.Rest > 0 {
-		out = append(out, eventlog.Milliseconds("rest_asked", m.Rest))
+	if m.RetryAfter > 0 {
+		out = append(out, eventlog.Milliseconds("rest_asked", m.RetryAfter))
 	}
 	if m.Leaving {
 		out = append(out, slog.Bool("leaving", true))
 	}
-	if m.Limit.Named {
-		out = append(out, slog.Float64("limit", float64(m.Limit.Rate)))
+	if m.RateLimit.Named {
+		out = append(out, slog.Float64("limit", float64(m.RateLimit.Rate)))
 	}
-	if m.Limit.Odd {
+	if m.RateLimit.Odd {
 		out = append(out, slog.Bool("odd_limit", true))
 	}
 	return out
--- a/internal/core/forward/word_test.go
+++ b/internal/core/forward/word_test.go
@@ -24,7 +24,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, catalog.KindOnce, platformtest.Answer("first"), platformtest.Answer("second"))
 			r.route.Attempts = 1
-			r.forward.Budgets = &forward.Budgets{Percent: func() int64 { return 0 }}
+			r.forward.RetryBudgets = &forward.RetryBudgets{Percent: func() int64 { return 0 }}
 			other := r.forward.Fleet.Pick(&fleet.Query{Service: &catalog.Service{Name: "s"}, Zone: "z0", Now: time.Now()})
 			var once sync.Once
 			r.forward.ConnLimit = func(*catalog.Service) int {
@@ -56,19 +56,19 @@
 		clock := graniteknot.AgeClock{Suspension: &away}
 		r.forward.Clock, r.forward.Fleet.Clock = clock, clock
 		if result := r.do(context.Background()); result.Reason != forward.ReasonRefused || result.Attempts != 2 ||
-			result.Outcome != graniteknot.OutcomeNotRun || result.Again < time.Second || result.Again > 2*time.Second {
+			result.Outcome != graniteknot.OutcomeNotRun || result.RetryAfter < time.Second || result.RetryAfter > 2*time.Second {
 			t.Errorf("%v: %+v", kind, result)
 		}
 		began := time.Now()
-		if result := r.do(context.Background()); result.Reason != forward.ReasonResting || result.Attempts != 0 ||
-			result.Outcome != graniteknot.OutcomeNotRun || result.Again < time.Second || result.Again > 2*time.Second {
+		if result := r.do(context.Background()); result.Reason != forward.ReasonReplicaBackoff || result.Attempts != 0 ||
+			result.Outcome != graniteknot.OutcomeNotRun || result.RetryAfter < time.Second || result.RetryAfter > 2*time.Second {
 			t.Errorf("%v, again: %+v", kind, result)
 		}
 		if took := time.Since(began); took > time.Second {
 			t.Errorf("%v: held for %v", kind, took)
 		}
 		away.Store(int64(2 * time.Second))
-		r.request.Arrived = clock.Now()
+		r.request.ReceivedAt = clock.Now()
 		if kind == catalog.KindStream {
 			r.replicas[1].Always(platformtest.Stream(1, true))
 		}
@@ -84,7 +84,7 @@
 func TestRefusedOnceComesBackSoon(t *testing.T) {
 	r := newRig(t, catalog.KindRepeatable, platformtest.Shed("3"), platformtest.Answer("second"))
 	r.route.Attempts = 1
-	if result := r.do(context.Background()); result.Reason != forward.ReasonRefused || result.Again != 0 {
+	if result := r.do(context.Background()); result.Reason != forward.ReasonRefused || result.RetryAfter != 0 {
 		t.Errorf("%+v", result)
 	}
 	if result := r.do(context.Background()); result.Outcome != graniteknot.OutcomeAnswered || result.Attempts != 1 {
--- a/internal/core/gateway/census_test.go
+++ b/internal/core/gateway/census_test.go
@@ -18,7 +18,7 @@
 // one that reads the store tells the others, the relays included, none of which reads.
 // Sidecars learn from relays; one that they do not know is no rank to a keeper.
 func TestLateSidecarIsKnown(t *testing.T) {
-	const fleet = presence.RelayedFleet + 3
+	const fleet = presence.MaxDirectGateways + 3
 	var ips []string
 	for range fleet {
 		ips = append(ips, loopback())
@@ -56,7 +56,7 @@
 		}
 		return n == fleet-1
 	})
-	late := presence.Member{Box: "side-1", Role: presence.RoleSidecar, Zone: "z", Peers: "127.0.0.1:9", Target: "127.0.0.1:10", Born: 7}
+	late := presence.Member{Box: "side-1", Role: presence.RoleSidecar, Zone: "z", PeerAddress: "127.0.0.1:9", Target: "127.0.0.1:10", Incarnation: 7}
 	value, err := json.Marshal(late)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/core/gateway/drill_test.go
+++ b/internal/core/gateway/drill_test.go
@@ -67,7 +67,7 @@
 func (d *drilled) drill() {
 	d.store.Restore(d.copy)
 	for _, b := range d.all {
-		eventually(d.t, "the new era is seen", func() bool { return b.Health.Renewals() > 0 })
+		eventually(d.t, "the new era is seen", func() bool { return b.Health.Restores() > 0 })
 	}
 }
 
@@ -129,7 +129,7 @@
 }
 
 func version(b *box) catalog.Version {
-	tree, _ := b.Trees.Current(b.Clock.Now())
+	tree, _ := b.Catalog.Current(b.Clock.Now())
 	if tree == nil {
 		return 0
 	}
@@ -153,7 +153,7 @@
 	d.store.Put(graniteknot.TopicSettings, "config", newest)
 	since := b.Clock.Now()
 	eventually(t, "it is proved in the new era", func() bool {
-		_, age := b.Trees.Current(b.Clock.Now())
+		_, age := b.Catalog.Current(b.Clock.Now())
 		return b.Clock.Since(since) > age
 	})
 	d.store.Put(graniteknot.TopicSettings, "config", former)
@@ -175,7 +175,7 @@
 	eventually(t, "the late one is known", func() bool { return len(d.all[0].listed()) == 3 })
 	key := quarantine.KeyOf("/repeat/x", "desk", []byte("ends replicas"))
 	for life := range 2 {
-		d.all[0].Quarantine.Ended(key, catalog.Mark(life+1), d.all[0].Clock.Now())
+		d.all[0].Quarantine.RecordCrash(key, catalog.Mark(life+1), d.all[0].Clock.Now())
 	}
 	eventually(t, "the request has a record", func() bool { return d.has(graniteknot.TopicQuarantine, key.String()) })
 	d.allRead()
--- a/internal/core/gateway/follow.go
+++ b/internal/core/gateway/follow.go
@@ -39,9 +39,9 @@
 func (g *Gateway) followSettings(ctx context.Context) {
 	g.meet(ctx)
 	f := watch.Follower{
-		Store: g.Store, Topic: graniteknot.TopicSettings, Health: &g.Health, Clock: g.Clock, WaitNow: g.settingsWait, Spacing: settingsSpacing,
-		Newest: g.takeSettings, Next: g.takeSettings, Revalidate: g.revalidateSettings, Elsewhere: g.settingsElsewhere, RevalidatePause: revalidatePause, Early: true,
-		Renewed: func(graniteknot.Era) { g.Trees.Renew() }, Vital: true, Wake: g.settingsWake,
+		Store: g.Store, Topic: graniteknot.TopicSettings, Health: &g.Health, Clock: g.Clock, PollWaitFunc: g.settingsWait, MinReadInterval: settingsSpacing,
+		OnNewest: g.takeSettings, OnNext: g.takeSettings, Revalidate: g.revalidateSettings, FetchFromPeer: g.settingsElsewhere, RevalidateInterval: revalidatePause, RevalidateFirst: true,
+		OnRestore: func(graniteknot.Era) { g.Catalog.Renew() }, DetectLoss: true, Wake: g.settingsWake,
 	}
 	f.Run(ctx)
 }
@@ -50,13 +50,13 @@
 func (g *Gateway) takeSettings(records []graniteknot.KeyedRecord, began time.Time) {
 	newest, record := g.newestTree(records)
 	if newest == nil {
-		if g.Trees.Unchanged(began) {
+		if g.Catalog.Unchanged(began) {
 			from := g.ownRead()
 			g.settingsFrom.Store(&from)
 		}
 		return
 	}
-	g.Trees.Show(newest.Version)
+	g.Catalog.Show(newest.Version)
 	g.askBeforeFirst(newest.Version)
 	g.offer(newest, record, began, g.ownRead())
 }
@@ -86,8 +86,8 @@
 
 // offer takes a configuration into force unless a newer one is.
 func (g *Gateway) offer(newest *catalog.Tree, record graniteknot.KeyedRecord, began time.Time, from source) {
-	former, _ := g.Trees.Current(began)
-	changed, err := g.Trees.Offer(newest, began)
+	former, _ := g.Catalog.Current(began)
+	changed, err := g.Catalog.Offer(newest, began)
 	if err != nil {
 		g.Log.Warn("configuration refused", slog.Int64("version", int64(newest.Version)), slog.String("error", err.Error()))
 		return
@@ -148,9 +148,9 @@
 func (g *Gateway) followReplicas(ctx context.Context) {
 	g.meet(ctx)
 	f := watch.Follower{
-		Store: g.Store, Topic: graniteknot.TopicReplicas, Health: &g.Health, Clock: g.Clock, Pause: time.Duration(replicasShare * float64(g.Config.Drain)),
-		Newest: g.resetReplicas, Next: g.takeReplicas, Revalidate: g.revalidateReplicas, Elsewhere: g.replicasElsewhere, RevalidatePause: revalidatePause, Early: true,
-		Urgent: func() bool { return g.Fleet.RecordsStale(g.Clock.Now()) }, Vital: true, Wake: g.replicasWake,
+		Store: g.Store, Topic: graniteknot.TopicReplicas, Health: &g.Health, Clock: g.Clock, ReadPause: time.Duration(replicasShare * float64(g.Config.Drain)),
+		OnNewest: g.resetReplicas, OnNext: g.takeReplicas, Revalidate: g.revalidateReplicas, FetchFromPeer: g.replicasElsewhere, RevalidateInterval: revalidatePause, RevalidateFirst: true,
+		ChangePending: func() bool { return g.Fleet.RecordsStale(g.Clock.Now()) }, DetectLoss: true, Wake: g.replicasWake,
 	}
 	f.Run(ctx)
 }
@@ -222,7 +222,7 @@
 	if err != nil {
 		return replica, err
 	}
-	tree, _ := g.Trees.Current(g.Clock.Now())
+	tree, _ := g.Catalog.Current(g.Clock.Now())
 	if tree != nil && tree.Service(replica.Service) == nil {
 		return replica, fmt.Errorf("service %.80q is not configured", replica.Service)
 	}
@@ -239,7 +239,7 @@
 // vanished acts on a record that is gone. While the store is away, and shortly
 // after, records lapse that live replicas will write again.
 func (g *Gateway) vanished(id catalog.ReplicaID) {
-	if g.Health.Doubtful(g.Clock.Now(), doubtTime) {
+	if g.Health.RecentOutage(g.Clock.Now(), doubtTime) {
 		if g.Fleet.MarkLapsed(id, g.Clock.Now()) {
 			g.Log.Info("replica lapsed", slog.String("replica", string(id)))
 		}
@@ -259,13 +259,13 @@
 // look removes replicas that did not come back, and tells when the
 // configuration becomes too old to trust keys, or new enough again.
 func (g *Gateway) look() {
-	if back, up := g.Health.Back(); up {
+	if back, up := g.Health.UpSince(); up {
 		for _, id := range g.Fleet.RemoveLapsed(back, g.Clock.Now()) {
 			g.shared.dropReplica(string(id))
 			g.Log.Info("replica gone", slog.String("replica", string(id)), slog.Bool("lapsed", true))
 		}
 	}
-	tree, age := g.Trees.Current(g.Clock.Now())
+	tree, age := g.Catalog.Current(g.Clock.Now())
 	if tree == nil {
 		return
 	}
@@ -279,7 +279,7 @@
 func (g *Gateway) watchSilence() {
 	g.sendLimitsNow()
 	g.tellLost()
-	g.Forward.Expire()
+	g.Forwarder.CancelExpired()
 	changed, stuck := g.Fleet.Sweep(g.Clock.Now())
 	for _, c := range changed {
 		g.Log.Warn("replica silent", slog.String("replica", string(c.Replica)), slog.Bool("silent", c.Silent),
--- a/internal/core/gateway/gateway.go
+++ b/internal/core/gateway/gateway.go
@@ -39,16 +39,16 @@
 	sweepPeriod = time.Second
 )
 
-// Parts are what a Gateway is made of.
-type Parts struct {
+// Options are what a Gateway is made of.
+type Options struct {
 	Config     *directconf.Config
 	Store      graniteknot.KeyedStore
 	Translator Translator
 	Log        *eventlog.Log
-	// Lines is the log's writer; nil when nothing counts what it drops.
-	Lines *eventlog.Writer
-	Meter *meter.Meter
-	Born  graniteknot.Incarnation
+	// LogWriter is the log's writer; nil when nothing counts what it drops.
+	LogWriter   *eventlog.Writer
+	Meter       *meter.Meter
+	Incarnation graniteknot.Incarnation
 	// Clock is what ages, leases and deadlines are decided by.
 	Clock graniteknot.AgeClock
 	// Network opens the gateway's addresses; nil for the machine's own.
@@ -57,13 +57,13 @@
 
 // Gateway is the process. Make it with New.
 type Gateway struct {
-	Parts
-	Trees   catalog.Holder
-	Fleet   fleet.Table
-	Pool    conns.Pool
-	Members presence.View
-	Forward forward.Forwarder
-	Health  watch.Health
+	Options
+	Catalog   catalog.Holder
+	Fleet     fleet.Table
+	Pool      conns.Pool
+	Members   presence.View
+	Forwarder forward.Forwarder
+	Health    watch.Health
 	// Quarantine knows the requests that are kept from replicas.
 	Quarantine quarantine.Table
 	// Limits deals out the limits of which this gateway is the home.
@@ -71,7 +71,7 @@
 
 	socket *presence.Socket
 	// census learns who is known from relays.
-	census presence.Census
+	census presence.MemberSync
 	// met is closed once the members are known, or can't be read; before that unknown is set
 	// where the store has no record of this gateway.
 	met     chan struct{}
@@ -89,7 +89,7 @@
 	// due tells that something of limits is to be sent.
 	due chan struct{}
 	// quarantineShelf has packs of the quarantine that others are taking.
-	quarantineShelf presence.Shelf
+	quarantineShelf presence.PackCache
 	// ward tells and keeps what the quarantine knows.
 	ward ward
 	// bundler collects what this gateway passes on as a relay; relaying tells that it is
@@ -123,13 +123,13 @@
 }
 
 // New returns a gateway that does nothing until Start.
-func New(p Parts) *Gateway {
+func New(p Options) *Gateway {
 	if p.Network == nil {
 		p.Network = hostnet.Network{}
 	}
-	p.Store = &watch.Metered{Store: p.Store, Meter: p.Meter}
+	p.Store = &watch.MeteredStore{Store: p.Store, Meter: p.Meter}
 	g := &Gateway{
-		Parts: p, met: make(chan struct{}), wanted: make(chan struct{}), due: make(chan struct{}, 1),
+		Options: p, met: make(chan struct{}), wanted: make(chan struct{}), due: make(chan struct{}, 1),
 		settingsWake: make(chan struct{}, 1), replicasWake: make(chan struct{}, 1),
 		newerWake: make(chan struct{}, 1), relayWake: make(chan struct{}, 1),
 	}
@@ -138,12 +138,12 @@
 	g.servers.network = p.Network
 	g.Health.Log = p.Log
 	g.Fleet.Clock, g.Pool.Clock = p.Clock, p.Clock
-	g.Forward = forward.Forwarder{
-		Dialect: p.Translator, Pool: &g.Pool, Fleet: &g.Fleet, Log: p.Log, Meter: p.Meter, Zone: p.Config.Zone,
-		Clock: p.Clock, Fresh: g.fresh, ConnLimit: g.connLimit, Quarantine: &g.Quarantine,
-		Budgets: &forward.Budgets{Percent: g.retryPercent, Burst: g.retryBurst},
+	g.Forwarder = forward.Forwarder{
+		Codec: p.Translator, Pool: &g.Pool, Fleet: &g.Fleet, Log: p.Log, Meter: p.Meter, Zone: p.Config.Zone,
+		Clock: p.Clock, ConfigFresh: g.fresh, ConnLimit: g.connLimit, Quarantine: &g.Quarantine,
+		RetryBudgets: &forward.RetryBudgets{Percent: g.retryPercent, Burst: g.retryBurst},
 	}
-	g.Quarantine.Changed = g.quarantineChanged
+	g.Quarantine.OnChange = g.quarantineChanged
 	g.Fleet.NotifyOutbox(quota.BoxOf(p.Config.Box), g.limitsDue)
 	return g
 }
@@ -156,16 +156,16 @@
 		return err
 	}
 	g.started = g.Clock.Now()
-	g.socket = presence.NewSocket(conn, c.Box, g.Born, g.Log, g.heard)
-	g.census = presence.Census{Socket: g.socket, View: &g.Members, Self: g.self(), From: g.readersPeers, Clock: g.Clock}
-	g.socket.Respond(g.answerPeer)
+	g.socket = presence.NewSocket(conn, c.Box, g.Incarnation, g.Log, g.heard)
+	g.census = presence.MemberSync{Socket: g.socket, View: &g.Members, Self: g.self(), Sources: g.readersPeers, Clock: g.Clock}
+	g.socket.HandleQueries(g.answerPeer)
 	if err := g.listen(ctx); err != nil {
 		return err
 	}
 	g.gauges()
 	g.follow()
 	g.Log.Info("started", slog.String("requests", string(c.Requests)), slog.String("zone", string(c.Zone)),
-		slog.String("store", string(c.Store)), slog.Uint64("born", uint64(g.Born)))
+		slog.String("store", string(c.Store)), slog.Uint64("born", uint64(g.Incarnation)))
 	return nil
 }
 
@@ -179,12 +179,12 @@
 	g.group.Go(g.relayEarly)
 	registrar := &presence.Registrar{
 		Store: g.Store, Self: g.self(), View: &g.Members, Health: &g.Health, Log: g.Log, Clock: g.Clock,
-		Joined: g.greet, Elsewhere: g.askCensus, Met: g.membersMet,
+		OnJoin: g.greet, SyncFromPeer: g.askCensus, OnFirstRead: g.membersMet,
 	}
 	g.group.Go(registrar.Register)
 	g.group.Go(registrar.Follow)
-	g.every(presence.Period, g.hello)
-	g.every(presence.BundlePeriod, g.relay)
+	g.every(presence.HeartbeatInterval, g.hello)
+	g.every(presence.BundleInterval, g.relay)
 	g.every(sweepPeriod, g.Pool.Sweep)
 	g.every(lookPeriod, g.look)
 	g.every(silencePeriod, g.watchSilence)
@@ -199,8 +199,8 @@
 func (g *Gateway) self() presence.Member {
 	c := g.Config
 	return presence.Member{
-		Box: c.Box, Role: presence.RoleGateway, Zone: c.Zone, Peers: c.Peers, Requests: c.Requests, Born: g.Born,
-		Link: c.Link,
+		Box: c.Box, Role: presence.RoleGateway, Zone: c.Zone, PeerAddress: c.Peers, RequestAddress: c.Requests, Incarnation: g.Incarnation,
+		LinkRate: c.Link,
 	}
 }
 
@@ -209,7 +209,7 @@
 	if g.leaving.Load() {
 		return false
 	}
-	tree, age := g.Trees.Current(g.Clock.Now())
+	tree, age := g.Catalog.Current(g.Clock.Now())
 	return tree != nil && (!tree.Tenanted || g.trusts(tree, age))
 }
 
@@ -217,7 +217,7 @@
 
 // fresh tells whether a key may be trusted now.
 func (g *Gateway) fresh() bool {
-	tree, age := g.Trees.Current(g.Clock.Exact())
+	tree, age := g.Catalog.Current(g.Clock.Exact())
 	return tree != nil && g.trusts(tree, age)
 }
 
@@ -229,7 +229,7 @@
 	if age < g.keyAge() {
 		return true
 	}
-	return g.bounds.Load().KeysUnproved && uint64(tree.Version) >= g.Members.NewestSettings()
+	return g.bounds.Load().KeysUnproved && uint64(tree.Version) >= g.Members.NewestConfigVersion()
 }
 
 // gateways is how many may send requests, those still to come included.
--- a/internal/core/gateway/hello.go
+++ b/internal/core/gateway/hello.go
@@ -16,22 +16,22 @@
 // and then, so that they know where to tell what it passes on.
 func (g *Gateway) hello() {
 	now := g.Clock.Now()
-	relaying := g.Members.Relaying(g.self(), !g.leaving.Load(), now)
+	relaying := g.Members.UpdateRelaying(g.self(), !g.leaving.Load(), now)
 	if g.relaying.Swap(relaying) != relaying {
 		g.Log.Info("relay", slog.Bool("relaying", relaying))
 	}
-	to := g.Members.Audience(g.Config.Box, now)
-	if relaying && now.Sub(g.relayed) >= presence.RelayPeriod {
+	to := g.Members.DirectGateways(g.Config.Box, now)
+	if relaying && now.Sub(g.relayed) >= presence.RelayAnnounceInterval {
 		g.relayed = now
 		to = g.everybody()
 	}
 	g.socket.Send(g.greeting(), to)
-	g.Fleet.SetGateways(len(g.Members.Alive(presence.RoleGateway, g.Config.Box, now)) + 1)
+	g.Fleet.SetGateways(len(g.Members.ReadyMembers(presence.RoleGateway, g.Config.Box, now)) + 1)
 }
 
 // greet tells a new member that this gateway lives.
 func (g *Gateway) greet(m presence.Member) {
-	g.socket.Send(g.greeting(), []graniteknot.Address{m.Peers})
+	g.socket.Send(g.greeting(), []graniteknot.Address{m.PeerAddress})
 	g.greetLimits(&m)
 }
 
@@ -96,20 +96,20 @@
 
 // askCensus learns from others who is known; the readers read the store.
 func (g *Gateway) askCensus(ctx context.Context) bool {
-	return len(g.readers(g.Clock.Now())) > 0 && g.census.Ask(ctx)
+	return len(g.readers(g.Clock.Now())) > 0 && g.census.Sync(ctx)
 }
 
 // greeting is what this gateway tells of itself.
 func (g *Gateway) greeting() presence.Message {
 	self := g.self()
-	hello := presence.Message{Ready: g.ready(), Self: &self, Relay: g.relaying.Load(), Quarantine: g.Quarantine.Digest(), Lost: g.lost.Load()}
-	hello.Settings = g.version()
+	hello := presence.Message{Ready: g.ready(), Self: &self, Relay: g.relaying.Load(), QuarantineDigest: g.Quarantine.Digest(), StoreLost: g.lost.Load()}
+	hello.ConfigVersion = g.version()
 	return hello
 }
 
 // version is that of the configuration in force; 0 for none.
 func (g *Gateway) version() uint64 {
-	if tree, _ := g.Trees.Current(g.Clock.Now()); tree != nil {
+	if tree, _ := g.Catalog.Current(g.Clock.Now()); tree != nil {
 		return uint64(tree.Version)
 	}
 	return 0
@@ -120,7 +120,7 @@
 	var to []graniteknot.Address
 	for _, role := range []presence.Role{presence.RoleGateway, presence.RoleSidecar} {
 		for _, m := range g.Members.Members(role, g.Config.Box) {
-			to = append(to, m.Peers)
+			to = append(to, m.PeerAddress)
 		}
 	}
 	return to
@@ -140,13 +140,13 @@
 
 // relay passes on what was heard of late, if this gateway is a relay.
 func (g *Gateway) relay() {
-	bundles := g.bundler.Bundles(g.Clock.Now())
+	bundles := g.bundler.Flush(g.Clock.Now())
 	if !g.relaying.Load() {
 		return
 	}
-	to := g.Members.InZone(g.self())
+	to := g.Members.ZoneGateways(g.self())
 	for i := range bundles {
-		g.socket.Send(presence.Message{Ready: g.ready(), Relay: true, Settings: g.version(), Lost: g.lost.Load(), Bundle: &bundles[i]}, to)
+		g.socket.Send(presence.Message{Ready: g.ready(), Relay: true, ConfigVersion: g.version(), StoreLost: g.lost.Load(), Bundle: &bundles[i]}, to)
 	}
 }
 
@@ -157,7 +157,7 @@
 		g.told(m, now)
 		return
 	}
-	if m.Quarantined != nil {
+	if m.QuarantineRecords != nil {
 		g.quarantineHeard(m, now)
 		return
 	}
@@ -165,12 +165,12 @@
 		g.limitsHeard(m, now)
 		return
 	}
-	if g.Members.Heard(m, now) {
+	if g.Members.ApplyMessage(m, now) {
 		g.greetLimits(m.Self)
 	}
-	g.noteVersion(versionNotice{catalog.Version(m.Settings), m.Box, true}, now)
+	g.noteVersion(versionNotice{catalog.Version(m.ConfigVersion), m.Box, true}, now)
 	g.heardOfReaders()
-	g.bundler.Take(m, now)
+	g.bundler.Add(m, now)
 	if m.Self != nil {
 		g.compareQuarantine(m)
 	}
@@ -181,24 +181,24 @@
 
 // told takes what a relay passes on.
 func (g *Gateway) told(m *presence.Message, now time.Time) {
-	g.Members.Told(m, now)
-	g.noteVersion(versionNotice{catalog.Version(m.Settings), m.Box, true}, now)
-	g.noteVersion(versionNotice{catalog.Version(m.Bundle.Settings), m.Box, false}, now)
+	g.Members.ApplyBundle(m, now)
+	g.noteVersion(versionNotice{catalog.Version(m.ConfigVersion), m.Box, true}, now)
+	g.noteVersion(versionNotice{catalog.Version(m.Bundle.ConfigVersion), m.Box, false}, now)
 	g.heardOfReaders()
 	for i := range m.Bundle.Reports {
 		r := &m.Bundle.Reports[i]
-		d := m.Bundle.Digest(r)
-		l := loadOf(&d, now.Add(-time.Duration(r.Age)*time.Millisecond))
+		d := m.Bundle.LoadReport(r)
+		l := loadOf(&d, now.Add(-time.Duration(r.AgeMillis)*time.Millisecond))
 		l.Relayed = true
 		g.Fleet.Report(d.Target, l)
 	}
 }
 
 // loadOf is what a sidecar told of its replica at a time.
-func loadOf(d *presence.Digest, taken time.Time) fleet.Load {
+func loadOf(d *presence.LoadReport, taken time.Time) fleet.Load {
 	return fleet.Load{
 		Running: d.Running, Waiting: d.Waiting, Pace: float64(d.Pace),
-		Pass: time.Duration(d.Pass) * time.Microsecond, GroupDown: !d.Open, Taken: taken, Life: d.Life,
-		Forecast: fleet.Forecast{Skew: float64(d.Skew), Loading: d.Loading, Number: d.Forecast},
+		Pass: time.Duration(d.PassMicros) * time.Microsecond, GroupDown: !d.GroupOpen, Taken: taken, Life: d.LifeMark,
+		Forecast: fleet.Forecast{Skew: float64(d.Skew), Loading: d.Loading, Number: d.ForecastSequence},
 	}
 }
--- a/internal/core/gateway/limits.go
+++ b/internal/core/gateway/limits.go
@@ -48,9 +48,9 @@
 	now := g.Clock.Now()
 	told, asks := g.Fleet.DrainOutbox(now)
 	if len(told) > 0 {
-		g.tellLimits(told, g.Members.Audience(g.Config.Box, now))
+		g.tellLimits(told, g.Members.DirectGateways(g.Config.Box, now))
 		if g.relaying.Load() {
-			g.tellLimits(told, g.Members.InZone(g.self()))
+			g.tellLimits(told, g.Members.ZoneGateways(g.self()))
 		}
 	}
 	for i := range asks {
@@ -92,13 +92,13 @@
 		g.granted(&grant, now)
 		return
 	}
-	g.sendQuota(&quota.Message{Asks: []quota.Ask{a.Ask}}, []graniteknot.Address{home.Peers})
+	g.sendQuota(&quota.Message{Asks: []quota.Ask{a.Ask}}, []graniteknot.Address{home.PeerAddress})
 }
 
 // limitHome returns the gateway that deals out a limit, the next ones after some; nil for this
 // one.
 func (g *Gateway) limitHome(life catalog.Life, skip int, now time.Time) *presence.Member {
-	list := g.Members.Alive(presence.RoleGateway, g.Config.Box, now)
+	list := g.Members.ReadyMembers(presence.RoleGateway, g.Config.Box, now)
 	list = append(list, g.self())
 	name := life.String()
 	for ; skip%len(list) > 0; skip-- {
@@ -159,14 +159,14 @@
 		}
 	}
 	if g.relaying.Load() {
-		g.tellLimits(fresh, g.Members.InZone(g.self()))
+		g.tellLimits(fresh, g.Members.ZoneGateways(g.self()))
 	}
 	for i := range message.Grants {
 		g.granted(&message.Grants[i], now)
 	}
 	for i := range message.Asks {
 		grant := g.dealLimit(&message.Asks[i], m.Box, now)
-		if to, known := g.Members.Peers(m.Box); known {
+		if to, known := g.Members.PeerAddress(m.Box); known {
 			g.sendQuota(&quota.Message{Grants: []quota.Grant{grant}}, []graniteknot.Address{to})
 		}
 	}
@@ -199,7 +199,7 @@
 			told = append(told, w)
 		}
 	}
-	g.tellLimits(told, []graniteknot.Address{m.Peers})
+	g.tellLimits(told, []graniteknot.Address{m.PeerAddress})
 }
 
 func (g *Gateway) countLimit(name, what string, n int) {
--- a/internal/core/gateway/listen.go
+++ b/internal/core/gateway/listen.go
@@ -66,7 +66,7 @@
 	if g.ready() {
 		out = append(out, g.Config.Requests)
 	}
-	out = appendRequests(out, g.Members.Alive(presence.RoleGateway, g.Config.Box, now))
+	out = appendRequests(out, g.Members.ReadyMembers(presence.RoleGateway, g.Config.Box, now))
 	if len(out) == 0 {
 		out = appendRequests(out, g.Members.Members(presence.RoleGateway, g.Config.Box))
 	}
@@ -76,8 +76,8 @@
 // appendRequests appends where gateways take requests, of those that say so.
 func appendRequests(out []graniteknot.Address, members []presence.Member) []graniteknot.Address {
 	for _, m := range members {
-		if m.Requests != "" {
-			out = append(out, m.Requests)
+		if m.RequestAddress != "" {
+			out = append(out, m.RequestAddress)
 		}
 	}
 	return out
--- a/internal/core/gateway/metrics.go
+++ b/internal/core/gateway/metrics.go
@@ -19,11 +19,11 @@
 // gauges has the gateway's state read whenever its figures are told.
 func (g *Gateway) gauges() {
 	g.Meter.Gauge("graniteknot_configuration_age_seconds", func() float64 {
-		_, age := g.Trees.Current(g.Clock.Now())
+		_, age := g.Catalog.Current(g.Clock.Now())
 		return age.Seconds()
 	})
 	g.Meter.Gauge("graniteknot_configuration_version", func() float64 {
-		tree, _ := g.Trees.Current(g.Clock.Now())
+		tree, _ := g.Catalog.Current(g.Clock.Now())
 		if tree == nil {
 			return 0
 		}
@@ -34,22 +34,22 @@
 		return behind.Seconds()
 	})
 	g.Meter.Gauge("graniteknot_gateways_alive", func() float64 {
-		return float64(len(g.Members.Alive(presence.RoleGateway, g.Config.Box, g.Clock.Now())) + 1)
+		return float64(len(g.Members.ReadyMembers(presence.RoleGateway, g.Config.Box, g.Clock.Now())) + 1)
 	})
 	g.Meter.Gauge("graniteknot_replicas_known", func() float64 { return float64(len(g.Fleet.IDs())) })
 	g.Meter.Gauge("graniteknot_replica_connections_opened", func() float64 { return float64(g.Pool.Opened()) })
-	g.Meter.Gauge("graniteknot_requests_quarantined", func() float64 { return float64(g.Quarantine.Blocking()) })
+	g.Meter.Gauge("graniteknot_requests_quarantined", func() float64 { return float64(g.Quarantine.QuarantinedCount()) })
 	g.Meter.Gauge("graniteknot_replicas_limited", func() float64 { return float64(len(g.Fleet.Limits(g.Clock.Now()))) })
-	g.Meter.Gauge("graniteknot_store_renewals", func() float64 { return float64(g.Health.Renewals()) })
+	g.Meter.Gauge("graniteknot_store_renewals", func() float64 { return float64(g.Health.Restores()) })
 	g.Meter.Gauge("graniteknot_log_lines_dropped", func() float64 { return float64(g.dropped()) })
 }
 
 // dropped counts the log lines that did not fit.
 func (g *Gateway) dropped() uint64 {
-	if g.Lines == nil {
+	if g.LogWriter == nil {
 		return 0
 	}
-	return g.Lines.Dropped()
+	return g.LogWriter.Dropped()
 }
 
 // serviceGauges adds the gauges of the services in a configuration.
@@ -71,11 +71,11 @@
 	service := meter.Label{Name: "service", Value: string(x.job.Service.Name)}
 	m.Count("graniteknot_requests_total", service, kind,
 		meter.Label{Name: "outcome", Value: r.Outcome.String()}, meter.Label{Name: "reason", Value: string(r.Reason)})
-	m.Observe("graniteknot_request_seconds", x.gateway.Clock.Since(x.request.Arrived), service, kind)
+	m.Observe("graniteknot_request_seconds", x.gateway.Clock.Since(x.request.ReceivedAt), service, kind)
 	if r.Outcome == graniteknot.OutcomeAnswered {
-		m.Observe("graniteknot_first_byte_seconds", r.First, service, kind)
+		m.Observe("graniteknot_first_byte_seconds", r.FirstByte, service, kind)
 	}
-	if r.Pause > 0 {
-		m.Observe("graniteknot_longest_pause_seconds", r.Pause, service)
+	if r.MaxPause > 0 {
+		m.Observe("graniteknot_longest_pause_seconds", r.MaxPause, service)
 	}
 }
--- a/internal/core/gateway/newer.go
+++ b/internal/core/gateway/newer.go
@@ -104,7 +104,7 @@
 	if t.version == 0 {
 		return
 	}
-	tree, age := g.Trees.Current(now)
+	tree, age := g.Catalog.Current(now)
 	own := catalog.Version(0)
 	if tree != nil {
 		own = tree.Version
@@ -173,7 +173,7 @@
 		return true
 	}
 	if box, ok := g.newer.from(catalog.Version(own)); ok {
-		if peers, known := g.Members.Peers(box); known && g.takeFrom(ctx, presence.Member{Box: box, Peers: peers}, own) {
+		if peers, known := g.Members.PeerAddress(box); known && g.takeFrom(ctx, presence.Member{Box: box, PeerAddress: peers}, own) {
 			return true
 		}
 	}
@@ -194,11 +194,11 @@
 // takeFrom takes the configuration of a gateway if it is newer.
 func (g *Gateway) takeFrom(ctx context.Context, m presence.Member, own uint64) bool {
 	asked := g.Clock.Now()
-	answer, err := g.askPeer(ctx, m.Peers, askSettings)
+	answer, err := g.askPeer(ctx, m.PeerAddress, askSettings)
 	if err != nil || answer.State <= own {
 		return false
 	}
-	p := proof{from: m, Standing: answer, at: asked.Add(-answer.Age)}
+	p := proof{from: m, TopicStatus: answer, at: asked.Add(-answer.Age)}
 	records, ok := g.take(ctx, &p, askSettingsPart)
 	if !ok {
 		return false
@@ -216,7 +216,7 @@
 		return
 	}
 	if from == g.ownRead() {
-		g.socket.Send(g.greeting(), g.Members.Audience(g.Config.Box, now))
+		g.socket.Send(g.greeting(), g.Members.DirectGateways(g.Config.Box, now))
 	}
 	wake(g.relayWake)
 }
--- a/internal/core/gateway/proof_test.go
+++ b/internal/core/gateway/proof_test.go
@@ -21,7 +21,7 @@
 			for range 60 {
 				time.Sleep(100 * time.Millisecond)
 				for _, b := range f.boxes {
-					if _, age := b.Trees.Current(b.Clock.Now()); age < time.Since(silent) {
+					if _, age := b.Catalog.Current(b.Clock.Now()); age < time.Since(silent) {
 						t.Fatalf("%s has a proof of %v ago, %v after the store went silent", b.config.Box, age, time.Since(silent))
 					}
 				}
--- a/internal/core/gateway/quarantine.go
+++ b/internal/core/gateway/quarantine.go
@@ -20,7 +20,7 @@
 
 const (
 	// askQuarantinePart asks for a part of what is known.
-	askQuarantinePart presence.Kind = 22
+	askQuarantinePart presence.QueryKind = 22
 	// mostTold is how many entries one datagram holds, of at most 45 bytes each.
 	mostTold = 20
 	// quarantineWait is how long one read of the records waits for a change.
@@ -43,21 +43,21 @@
 func (g *Gateway) quarantineChanged(e quarantine.Entry) {
 	g.logQuarantined(&e)
 	g.ward.expect(&e, g.Clock.Now())
-	g.tellQuarantine([]quarantine.Entry{e}, g.Members.Audience(g.Config.Box, g.Clock.Now()))
+	g.tellQuarantine([]quarantine.Entry{e}, g.Members.DirectGateways(g.Config.Box, g.Clock.Now()))
 	if g.relaying.Load() {
-		g.tellQuarantine([]quarantine.Entry{e}, g.Members.InZone(g.self()))
+		g.tellQuarantine([]quarantine.Entry{e}, g.Members.ZoneGateways(g.self()))
 	}
 }
 
 // logQuarantined tells of a request that is kept from replicas from now on, or no more.
 func (g *Gateway) logQuarantined(e *quarantine.Entry) {
 	switch {
-	case e.Blocks():
-		g.Log.Warn("request quarantined", slog.String("identity", e.Key.String()), slog.Int("replicas", len(e.Lives)))
+	case e.Quarantined():
+		g.Log.Warn("request quarantined", slog.String("identity", e.Key.String()), slog.Int("replicas", len(e.CrashedReplicas)))
 	case e.Suspect && !e.Released:
 		g.Log.Warn("request suspected", slog.String("identity", e.Key.String()))
 	case e.Released:
-		g.Log.Info("request released", slog.String("identity", e.Key.String()), slog.Int("replicas", len(e.Lives)))
+		g.Log.Info("request released", slog.String("identity", e.Key.String()), slog.Int("replicas", len(e.CrashedReplicas)))
 	}
 }
 
@@ -68,19 +68,19 @@
 		g.Log.Warn("quarantine", slog.String("error", err.Error()))
 		return
 	}
-	g.socket.Send(presence.Message{Quarantined: body}, to)
+	g.socket.Send(presence.Message{QuarantineRecords: body}, to)
 }
 
 // quarantineHeard takes in what another gateway told; a relay passes on what is new.
 func (g *Gateway) quarantineHeard(m *presence.Message, now time.Time) {
-	entries, err := quarantine.Decode(m.Quarantined)
+	entries, err := quarantine.Decode(m.QuarantineRecords)
 	if err != nil {
 		g.Log.Warn("quarantine", slog.String("peer", string(m.Box)), slog.String("error", err.Error()))
 		return
 	}
 	fresh := g.mergeQuarantine(entries, now)
 	if len(fresh) > 0 && g.relaying.Load() {
-		g.tellQuarantine(fresh, g.Members.InZone(g.self()))
+		g.tellQuarantine(fresh, g.Members.ZoneGateways(g.self()))
 	}
 }
 
@@ -103,10 +103,10 @@
 
 // compareQuarantine takes what another gateway knows where its digest differs.
 func (g *Gateway) compareQuarantine(m *presence.Message) {
-	if m.Quarantine == 0 || m.Quarantine == g.Quarantine.Digest() || !g.ward.differs(m.Box, m.Quarantine) {
+	if m.QuarantineDigest == 0 || m.QuarantineDigest == g.Quarantine.Digest() || !g.ward.differs(m.Box, m.QuarantineDigest) {
 		return
 	}
-	box, from := m.Box, m.Self.Peers
+	box, from := m.Box, m.Self.PeerAddress
 	g.group.Go(func(ctx context.Context) {
 		records, err := g.socket.Fetch(ctx, from, askQuarantinePart)
 		if err != nil {
@@ -122,14 +122,14 @@
 			}
 			fresh := g.mergeQuarantine(entries, now)
 			if len(fresh) > 0 && g.relaying.Load() {
-				g.tellQuarantine(fresh, g.Members.InZone(g.self()))
+				g.tellQuarantine(fresh, g.Members.ZoneGateways(g.self()))
 			}
 		}
 	})
 }
 
 // packQuarantine packs all entries, some in a record.
-func (g *Gateway) packQuarantine() (presence.Packed, error) {
+func (g *Gateway) packQuarantine() (presence.PackedRecords, error) {
 	var records []graniteknot.KeyedRecord
 	entries := g.Quarantine.Entries(g.Clock.Now())
 	for len(entries) > 0 {
@@ -140,7 +140,7 @@
 		}
 		records, entries = append(records, graniteknot.KeyedRecord{Value: value}), entries[n:]
 	}
-	return presence.Pack(records)
+	return presence.PackRecords(records)
 }
 
 // followQuarantine reads the records. In a large deployment the gateways that read for
@@ -148,10 +148,10 @@
 func (g *Gateway) followQuarantine(ctx context.Context) {
 	g.meet(ctx)
 	f := watch.Follower{
-		Store: g.Store, Topic: graniteknot.TopicQuarantine, Health: &g.Health, Clock: g.Clock, Wait: quarantineWait, Spacing: quarantineSpacing,
-		Newest: g.takeQuarantine, Next: g.takeQuarantine, Early: true, RevalidatePause: quarantinePause,
+		Store: g.Store, Topic: graniteknot.TopicQuarantine, Health: &g.Health, Clock: g.Clock, PollWait: quarantineWait, MinReadInterval: quarantineSpacing,
+		OnNewest: g.takeQuarantine, OnNext: g.takeQuarantine, RevalidateFirst: true, RevalidateInterval: quarantinePause,
 		Revalidate: func(context.Context) bool { return !g.readsQuarantine(g.Clock.Now()) },
-		Renewed:    func(graniteknot.Era) { g.renewQuarantine() },
+		OnRestore:  func(graniteknot.Era) { g.renewQuarantine() },
 	}
 	f.Run(ctx)
 }
@@ -175,13 +175,13 @@
 func (g *Gateway) takeQuarantine(records []graniteknot.KeyedRecord, _ time.Time) {
 	now := g.Clock.Now()
 	for _, r := range records {
-		e, err := quarantine.EntryOf(r)
+		e, err := quarantine.DecodeRecord(r)
 		if err != nil {
 			g.malformed("quarantine", r, err)
 			continue
 		}
 		g.ward.store(&e)
-		if whole, known := g.Quarantine.Entry(e.Key, now); known && whole.Released && e.Blocks() {
+		if whole, known := g.Quarantine.Entry(e.Key, now); known && whole.Released && e.Quarantined() {
 			// A copy of the store has it from before its release.
 			g.ward.expect(&whole, now.Add(rand.N(wardPatience)))
 		}
@@ -215,7 +215,7 @@
 	if !known {
 		e = quarantine.Entry{Key: k, Released: true}
 	}
-	r, err := quarantine.RecordOf(&e)
+	r, err := quarantine.EncodeRecord(&e)
 	if err == nil {
 		_, err = g.Store.Append(g.group.Context(), graniteknot.TopicQuarantine, r)
 	}
--- a/internal/core/gateway/readers.go
+++ b/internal/core/gateway/readers.go
@@ -50,7 +50,7 @@
 // a small deployment.
 func (g *Gateway) allReaders(now time.Time) []presence.Member {
 	most := g.Config.Readers
-	all := append(g.Members.Living(presence.RoleGateway, g.Config.Box, now), g.self())
+	all := append(g.Members.AliveMembers(presence.RoleGateway, g.Config.Box, now), g.self())
 	if most == 0 || len(all) <= 2*most {
 		return nil
 	}
@@ -58,7 +58,7 @@
 		if box == g.Config.Box {
 			return g.Health.Lost(now)
 		}
-		return g.Members.Lost(box)
+		return g.Members.StoreLost(box)
 	})[:most]
 }
 
@@ -75,13 +75,13 @@
 		return
 	}
 	g.Log.Info("reads", slog.Bool("able", !lost))
-	g.socket.Send(g.greeting(), g.Members.Audience(g.Config.Box, g.Clock.Now()))
+	g.socket.Send(g.greeting(), g.Members.DirectGateways(g.Config.Box, g.Clock.Now()))
 }
 
 // heardOfReaders looks who reads once others are heard to have lost the store, or to have it
 // again.
 func (g *Gateway) heardOfReaders() {
-	changes := g.Members.LostChanges()
+	changes := g.Members.StoreLostChanges()
 	if g.lostChanges.Swap(changes) == changes {
 		return
 	}
@@ -108,7 +108,7 @@
 func (g *Gateway) readersPeers(now time.Time) []graniteknot.Address {
 	var out []graniteknot.Address
 	for _, m := range g.readers(now) {
-		out = append(out, m.Peers)
+		out = append(out, m.PeerAddress)
 	}
 	return out
 }
@@ -116,7 +116,7 @@
 // many tells whether this is a large deployment, in which readers read for all.
 func (g *Gateway) many(now time.Time) bool {
 	most := g.Config.Readers
-	return most > 0 && len(g.Members.Living(presence.RoleGateway, g.Config.Box, now))+1 > 2*most
+	return most > 0 && len(g.Members.AliveMembers(presence.RoleGateway, g.Config.Box, now))+1 > 2*most
 }
 
 // readsFirst tells whether this gateway is among the first that read for all.
@@ -131,16 +131,16 @@
 // what it knows and did not. In a large deployment, where readers answer but prove
 // nothing, the store is away for them, and most likely for all: then it is called now
 // and then only: calls of all that each call as often as a single one would add up.
-func (g *Gateway) mayCall(kind presence.Kind, answered bool, now time.Time) bool {
+func (g *Gateway) mayCall(kind presence.QueryKind, answered bool, now time.Time) bool {
 	if !g.many(now) {
 		return true
 	}
 	if g.standsBy(now) {
-		_, up := g.Health.Back()
+		_, up := g.Health.UpSince()
 		return up || g.validity.probeDue(kind, probePeriod, now)
 	}
 	doubted := g.validity.doubt(kind, answered, now)
-	if _, up := g.Health.Back(); up && !answered {
+	if _, up := g.Health.UpSince(); up && !answered {
 		return true
 	}
 	return (!answered || doubted > doubtPatience) && g.validity.probeDue(kind, rareProbe, now)
@@ -149,10 +149,10 @@
 // provers returns the gateways to ask about a topic; nil when the store is to be
 // read. A gateway that the store does not answer asks those that it does answer, and calls the
 // store now and then.
-func (g *Gateway) provers(kind presence.Kind, now time.Time) []presence.Member {
+func (g *Gateway) provers(kind presence.QueryKind, now time.Time) []presence.Member {
 	before := g.readers(now)
 	many := g.many(now)
-	_, up := g.Health.Back()
+	_, up := g.Health.UpSince()
 	lost := g.Health.Lost(now)
 	switch {
 	case many && !lost, !many && up:
@@ -162,11 +162,11 @@
 	case many:
 		return g.otherReaders(now)
 	}
-	return g.Members.Living(presence.RoleGateway, g.Config.Box, now)
+	return g.Members.AliveMembers(presence.RoleGateway, g.Config.Box, now)
 }
 
 // trust is how old an answer on a topic may be to this gateway.
-func (g *Gateway) trust(kind presence.Kind) time.Duration {
+func (g *Gateway) trust(kind presence.QueryKind) time.Duration {
 	now := g.Clock.Now()
 	reads := g.many(now) && g.standsBy(now)
 	switch {
--- a/internal/core/gateway/readers_test.go
+++ b/internal/core/gateway/readers_test.go
@@ -209,14 +209,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	socket.Respond(func(_ context.Context, kind presence.Kind, _ []byte) ([]byte, error) {
+	socket.HandleQueries(func(_ context.Context, kind presence.QueryKind, _ []byte) ([]byte, error) {
 		if kind != 16 {
 			return nil, errNoAnswer
 		}
 		return binary.AppendUvarint(binary.AppendUvarint(nil, version), uint64(age.Microseconds())), nil
 	})
 	var telling group.Group
-	self := presence.Member{Box: box, Role: presence.RoleGateway, Zone: "z", Peers: address, Born: 1}
+	self := presence.Member{Box: box, Role: presence.RoleGateway, Zone: "z", PeerAddress: address, Incarnation: 1}
 	telling.Go(func(ctx context.Context) {
 		for ctx.Err() == nil {
 			socket.Send(presence.Message{Ready: true, Self: &self}, to())
@@ -268,7 +268,7 @@
 	}
 	for _, b := range boxes {
 		eventually(t, "all readers are known", func() bool {
-			return len(b.Members.Living(presence.RoleGateway, b.Config.Box, time.Now())) == fleet+readers-1
+			return len(b.Members.AliveMembers(presence.RoleGateway, b.Config.Box, time.Now())) == fleet+readers-1
 		})
 	}
 	before := map[*box]int{}
--- a/internal/core/gateway/refusal.go
+++ b/internal/core/gateway/refusal.go
@@ -41,7 +41,7 @@
 	if route == nil {
 		return grant{}, denial{http.StatusNotFound, "no-route"}
 	}
-	account := tree.Account(r.Key)
+	account := tree.Account(r.APIKey)
 	if account == nil && tree.Tenanted && !route.Public {
 		return grant{}, denial{http.StatusUnauthorized, "unknown-key"}
 	}
@@ -63,7 +63,7 @@
 func (g *Gateway) settle(ctx context.Context, r *forward.Request) (*catalog.Tree, time.Duration, bool) {
 	over := g.Clock.Now().Add(refusalWait)
 	for first := true; ; first = false {
-		tree, age := g.Trees.Current(g.Clock.Now())
+		tree, age := g.Catalog.Current(g.Clock.Now())
 		if _, deny := grantOf(tree, r); deny == (denial{}) || g.newest(age) {
 			return tree, age, true
 		}
--- a/internal/core/gateway/refusal_test.go
+++ b/internal/core/gateway/refusal_test.go
@@ -31,29 +31,29 @@
 	}
 	a := &ahead{fleet: f, socket: presence.NewSocket(conn, "ahead", 1, nil, func(*presence.Message) {})}
 	began := time.Now()
-	var shelf presence.Shelf
-	a.socket.Respond(func(ctx context.Context, kind presence.Kind, body []byte) ([]byte, error) {
+	var shelf presence.PackCache
+	a.socket.HandleQueries(func(ctx context.Context, kind presence.QueryKind, body []byte) ([]byte, error) {
 		if after < 0 || time.Since(began) < after {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
 		if kind == settingsPart {
-			return shelf.Part(body, func() (presence.Packed, error) {
+			return shelf.ServePart(body, func() (presence.PackedRecords, error) {
 				value := platformtest.Config(int(version), "h.example", "s", keys)
-				return presence.Pack([]graniteknot.KeyedRecord{{Key: "config", Value: value, At: 100}})
+				return presence.PackRecords([]graniteknot.KeyedRecord{{Key: "config", Value: value, At: 100}})
 			})
 		}
 		return standingOf(version), nil
 	})
-	self := presence.Member{Box: "ahead", Role: presence.RoleGateway, Zone: "z0", Peers: at, Born: 1}
+	self := presence.Member{Box: "ahead", Role: presence.RoleGateway, Zone: "z0", PeerAddress: at, Incarnation: 1}
 	a.telling.Go(func(ctx context.Context) {
 		for ctx.Err() == nil {
 			var to []graniteknot.Address
 			for _, b := range f.boxes {
 				to = append(to, b.config.Peers)
 			}
-			a.socket.Send(presence.Message{Ready: true, Self: &self, Settings: version}, to)
-			delay.For(ctx, presence.Period)
+			a.socket.Send(presence.Message{Ready: true, Self: &self, ConfigVersion: version}, to)
+			delay.For(ctx, presence.HeartbeatInterval)
 		}
 	})
 	return a
@@ -65,7 +65,7 @@
 }
 
 // settingsPart is the question for a part of the settings.
-const settingsPart presence.Kind = 18
+const settingsPart presence.QueryKind = 18
 
 // standingOf is an answer that tells a version just read.
 func standingOf(version uint64) []byte { return []byte{byte(version), 1, 1} }
--- a/internal/core/gateway/revalidate.go
+++ b/internal/core/gateway/revalidate.go
@@ -39,8 +39,8 @@
 
 // The questions that gateways ask each other.
 const (
-	askSettings presence.Kind = 16
-	askReplicas presence.Kind = 17
+	askSettings presence.QueryKind = 16
+	askReplicas presence.QueryKind = 17
 )
 
 // The state of an answer's topic is unknown before the first read.
@@ -50,7 +50,7 @@
 type proof struct {
 	// from is the reader that was asked; Standing is what it answered, as of at.
 	from presence.Member
-	readers.Standing
+	readers.TopicStatus
 	at time.Time
 	// unread tells that the reader knows no state yet.
 	unread bool
@@ -73,11 +73,11 @@
 		return !g.mayCall(askSettings, p.answered, g.Clock.Now())
 	}
 	now := g.Clock.Now()
-	tree, age := g.Trees.Current(now)
+	tree, age := g.Catalog.Current(now)
 	switch {
 	case tree != nil && p.State == uint64(tree.Version):
 		g.settingsFrom.Store(&source{p.from.Box, p.Reader})
-		return g.Trees.Prove(tree.Version, p.at)
+		return g.Catalog.Prove(tree.Version, p.at)
 	case tree != nil && p.State < uint64(tree.Version):
 		// The reader has yet to see what this gateway was told by another one.
 		return age < settingsTrust
@@ -87,7 +87,7 @@
 		return false
 	}
 	g.handSettings(records, p.at, p.source())
-	tree, _ = g.Trees.Current(now)
+	tree, _ = g.Catalog.Current(now)
 	return tree != nil && uint64(tree.Version) >= p.State
 }
 
@@ -103,8 +103,8 @@
 	if !ok {
 		return !g.mayCall(askReplicas, p.answered, g.Clock.Now())
 	}
-	if p.Sound {
-		g.Health.Elsewhere(p.at)
+	if p.StoreHealthy {
+		g.Health.RecordPeerRead(p.at)
 	}
 	now := g.Clock.Now()
 	age, read := g.validity.age(now)
@@ -126,8 +126,8 @@
 
 // take takes records from a reader that has others: nearly all gateways would else call
 // the store at each change, each of them for all records.
-func (g *Gateway) take(ctx context.Context, p *proof, kind presence.Kind) ([]graniteknot.KeyedRecord, bool) {
-	records, err := g.socket.Fetch(ctx, p.from.Peers, kind)
+func (g *Gateway) take(ctx context.Context, p *proof, kind presence.QueryKind) ([]graniteknot.KeyedRecord, bool) {
+	records, err := g.socket.Fetch(ctx, p.from.PeerAddress, kind)
 	if err != nil {
 		g.Log.Warn("records of a reader", slog.String("reader", string(p.from.Box)), slog.String("error", err.Error()))
 		return nil, false
@@ -138,7 +138,7 @@
 
 // askRead asks readers for the state of a topic until one has read it, as after a start
 // of all gateways at once.
-func (g *Gateway) askRead(ctx context.Context, from []presence.Member, kind presence.Kind, trust time.Duration) (proof, bool) {
+func (g *Gateway) askRead(ctx context.Context, from []presence.Member, kind presence.QueryKind, trust time.Duration) (proof, bool) {
 	for {
 		p, ok := g.askReaders(ctx, from, kind, trust)
 		if !p.unread {
@@ -153,13 +153,13 @@
 
 // askReaders asks a reader or two for the state of a topic, and returns it with
 // the time from which on it is proved; false when none knows it well enough.
-func (g *Gateway) askReaders(ctx context.Context, from []presence.Member, kind presence.Kind, trust time.Duration) (proof, bool) {
+func (g *Gateway) askReaders(ctx context.Context, from []presence.Member, kind presence.QueryKind, trust time.Duration) (proof, bool) {
 	answered := false
 	first := g.validity.first()
 	for i := range min(revalidateTries, len(from)) {
 		reader := from[(first+i)%len(from)]
 		asked := g.Clock.Now()
-		told, err := g.askPeer(ctx, reader.Peers, kind)
+		told, err := g.askPeer(ctx, reader.PeerAddress, kind)
 		if errors.Is(err, errUnread) {
 			return proof{from: reader, unread: true}, true
 		}
@@ -169,7 +169,7 @@
 			g.Meter.Count("graniteknot_revalidations_total", meter.Label{Name: "result", Value: "proved"})
 			g.validity.prefer(first + i)
 			g.validity.doubt(kind, false, asked)
-			return proof{from: reader, Standing: told, at: at}, true
+			return proof{from: reader, TopicStatus: told, at: at}, true
 		}
 		g.Meter.Count("graniteknot_revalidations_total", meter.Label{Name: "result", Value: "doubted"})
 		if err == nil || ctx.Err() == nil {
@@ -181,23 +181,23 @@
 }
 
 // askPeer asks a gateway for the state of a topic.
-func (g *Gateway) askPeer(ctx context.Context, to graniteknot.Address, kind presence.Kind) (readers.Standing, error) {
+func (g *Gateway) askPeer(ctx context.Context, to graniteknot.Address, kind presence.QueryKind) (readers.TopicStatus, error) {
 	short, cancel := context.WithTimeout(ctx, revalidateTime)
 	defer cancel()
 	body, err := g.socket.Ask(short, to, kind, nil)
 	if err != nil {
-		return readers.Standing{}, err
+		return readers.TopicStatus{}, err
 	}
 	if len(body) == 0 {
-		return readers.Standing{}, errUnread
+		return readers.TopicStatus{}, errUnread
 	}
-	return readers.DecodeStanding(body)
+	return readers.DecodeTopicStatus(body)
 }
 
 // answerPeer answers another process's question; a state that is not known yet with
 // nothing.
-func (g *Gateway) answerPeer(_ context.Context, kind presence.Kind, body []byte) ([]byte, error) {
-	if out, mine, err := g.census.Answer(kind, body); mine {
+func (g *Gateway) answerPeer(_ context.Context, kind presence.QueryKind, body []byte) ([]byte, error) {
+	if out, mine, err := g.census.HandleQuery(kind, body); mine {
 		return out, err
 	}
 	now := g.Clock.Now()
@@ -205,9 +205,9 @@
 	case askSettingsPart, askReplicasPart:
 		return g.shared.part(kind, body)
 	case askQuarantinePart:
-		return g.quarantineShelf.Part(body, g.packQuarantine)
+		return g.quarantineShelf.ServePart(body, g.packQuarantine)
 	case askSettings:
-		tree, age := g.Trees.Current(now)
+		tree, age := g.Catalog.Current(now)
 		if tree == nil {
 			return nil, nil
 		}
@@ -225,6 +225,6 @@
 
 // standing is this gateway's answer on a topic.
 func (g *Gateway) standing(state uint64, age time.Duration, reader graniteknot.BoxName) []byte {
-	s := readers.Standing{State: state, Age: age, Sound: !g.Health.Doubtful(g.Clock.Now(), doubtTime), Reader: reader}
+	s := readers.TopicStatus{State: state, Age: age, StoreHealthy: !g.Health.RecentOutage(g.Clock.Now(), doubtTime), Reader: reader}
 	return s.Encode()
 }
--- a/internal/core/gateway/revalidate_test.go
+++ b/internal/core/gateway/revalidate_test.go
@@ -206,7 +206,7 @@
 	}
 	way.cut.Store(true)
 	eventually(t, "the strict one refuses", func() bool { return strict.ask("/repeat/x", "k1").status == http.StatusServiceUnavailable })
-	if _, old := cut.Trees.Current(time.Now()); old < age-100*time.Millisecond {
+	if _, old := cut.Catalog.Current(time.Now()); old < age-100*time.Millisecond {
 		t.Fatalf("the configuration is only %v old", old)
 	}
 	if got := cut.ask("/repeat/x", "k1").status; got != http.StatusOK {
--- a/internal/core/gateway/rig_test.go
+++ b/internal/core/gateway/rig_test.go
@@ -66,9 +66,9 @@
 	if lines != nil {
 		log = eventlog.New(lines, c.Box, "gateway")
 	}
-	g := gateway.New(gateway.Parts{
-		Config: c, Store: store, Translator: platform.Dialect{}, Log: log, Lines: lines, Meter: meter.New(),
-		Born: graniteknot.Incarnation(boxes.Load()), Clock: clock,
+	g := gateway.New(gateway.Options{
+		Config: c, Store: store, Translator: platform.Dialect{}, Log: log, LogWriter: lines, Meter: meter.New(),
+		Incarnation: graniteknot.Incarnation(boxes.Load()), Clock: clock,
 	})
 	if err := g.Start(context.Background()); err != nil {
 		t.Fatal(err)
--- a/internal/core/gateway/serve.go
+++ b/internal/core/gateway/serve.go
@@ -61,7 +61,7 @@
 	if job == nil || !x.body(found.tree.Limits.BodyBytes) {
 		return
 	}
-	result := x.gateway.Forward.Do(x.r.Context(), job, x)
+	result := x.gateway.Forwarder.Do(x.r.Context(), job, x)
 	x.end(&result)
 }
 
@@ -71,22 +71,22 @@
 	w       http.ResponseWriter
 	r       *http.Request
 	request *forward.Request
-	job     *forward.Job
+	job     *forward.RoutedRequest
 	// version and age are of the configuration that the request was read under.
 	version catalog.Version
 	age     time.Duration
 }
 
 // admit makes the job of a request that the configuration allows; nil after a refusal.
-func (x *exchange) admit(found grant) *forward.Job {
+func (x *exchange) admit(found grant) *forward.RoutedRequest {
 	if found.account != nil && !x.gateway.fresh() {
-		x.refuse(http.StatusServiceUnavailable, string(forward.ReasonStale), refusedAgain)
+		x.refuse(http.StatusServiceUnavailable, string(forward.ReasonStaleConfig), refusedAgain)
 		return nil
 	}
 	route := found.route
-	x.job = &forward.Job{
+	x.job = &forward.RoutedRequest{
 		Request: x.request, Route: route, Account: found.account, Service: found.tree.Service(route.Pick(rand.Uint64())),
-		End: endOf(x.request, route),
+		RespondBy: endOf(x.request, route),
 	}
 	return x.job
 }
@@ -95,7 +95,7 @@
 func endOf(r *forward.Request, route *catalog.Route) time.Time {
 	end := r.Deadline
 	if route.Timeout > 0 {
-		if t := r.Arrived.Add(route.Timeout); end.IsZero() || t.Before(end) {
+		if t := r.ReceivedAt.Add(route.Timeout); end.IsZero() || t.Before(end) {
 			end = t
 		}
 	}
@@ -150,9 +150,9 @@
 	status := result.Status
 	switch {
 	case result.Outcome == graniteknot.OutcomeAnswered:
-	case result.Begun:
+	case result.ResponseStarted:
 		status = 0
-	case result.Reason == forward.ReasonCallerGone:
+	case result.Reason == forward.ReasonClientGone:
 		status = 0
 	case result.Outcome == graniteknot.OutcomeNotRun:
 		status = http.StatusServiceUnavailable
@@ -174,14 +174,14 @@
 // again is when the caller of a request that did not run may come back.
 func again(r *forward.Result) time.Duration {
 	if r.Reason == forward.ReasonBusy {
-		return time.Duration((1 + 0.4*rand.Float64()) * float64(max(r.Again, busyAgain)))
+		return time.Duration((1 + 0.4*rand.Float64()) * float64(max(r.RetryAfter, busyAgain)))
 	}
 	if r.Reason == forward.ReasonQuarantined {
 		return quarantinedAgain
 	}
-	if r.Again > 0 {
+	if r.RetryAfter > 0 {
 		// Who comes to replicas that have just rested comes spread over a while.
-		return time.Duration((1 + 0.2*rand.Float64()) * float64(max(r.Again, refusedAgain)))
+		return time.Duration((1 + 0.2*rand.Float64()) * float64(max(r.RetryAfter, refusedAgain)))
 	}
 	return refusedAgain
 }
@@ -194,19 +194,19 @@
 		slog.Int("status", status), slog.String("service", string(x.job.Service.Name)),
 		slog.String("route", x.job.Route.Name), slog.String("kind", x.job.Route.Kind.String()),
 		slog.Int("attempts", result.Attempts), slog.String("replica", result.Replica),
-		eventlog.Milliseconds("first", result.First), eventlog.Milliseconds("pause", result.Pause),
-		eventlog.Milliseconds("took", x.gateway.Clock.Since(x.request.Arrived)),
+		eventlog.Milliseconds("first", result.FirstByte), eventlog.Milliseconds("pause", result.MaxPause),
+		eventlog.Milliseconds("took", x.gateway.Clock.Since(x.request.ReceivedAt)),
 		slog.Int64("version", int64(x.version)), eventlog.Milliseconds("version_age", x.age),
 	}
 	if x.job.Account != nil {
 		fields = append(fields, slog.String("account", string(x.job.Account.Name)))
 	}
-	if result.Since > 0 {
-		fields = append(fields, eventlog.Milliseconds("since_first_try", result.Since))
+	if result.SinceFirstTry > 0 {
+		fields = append(fields, eventlog.Milliseconds("since_first_try", result.SinceFirstTry))
 	}
 	if late := x.late(result); late != "" {
 		fields = append(fields, slog.String("late", late), eventlog.Milliseconds("aim", x.job.Route.Aim),
-			eventlog.Milliseconds("pause_at", result.PauseAt))
+			eventlog.Milliseconds("pause_at", result.MaxPauseAt))
 	}
 	if result.Outcome == graniteknot.OutcomeAnswered {
 		x.gateway.Log.Info("request", fields...)
@@ -222,8 +222,8 @@
 // empty for one that is, or where the route says nothing.
 func (x *exchange) late(r *forward.Result) string {
 	route := x.job.Route
-	first := route.Aim > 0 && r.First > route.Aim
-	pause := route.GapAim > 0 && r.Pause > route.GapAim
+	first := route.Aim > 0 && r.FirstByte > route.Aim
+	pause := route.GapAim > 0 && r.MaxPause > route.GapAim
 	switch {
 	case r.Outcome != graniteknot.OutcomeAnswered:
 		return ""
@@ -237,8 +237,8 @@
 	return ""
 }
 
-// Whole implements forward.Sink.
-func (x *exchange) Whole(status int, h http.Header, body []byte) error {
+// WriteResponse implements forward.Sink.
+func (x *exchange) WriteResponse(status int, h http.Header, body []byte) error {
 	x.gateway.Translator.Answer(h, x.w.Header())
 	x.noType()
 	x.w.WriteHeader(status)
@@ -246,8 +246,8 @@
 	return err
 }
 
-// Begin implements forward.Sink.
-func (x *exchange) Begin(status int, h http.Header) error {
+// BeginStream implements forward.Sink.
+func (x *exchange) BeginStream(status int, h http.Header) error {
 	x.gateway.Translator.Answer(h, x.w.Header())
 	x.noType()
 	x.w.WriteHeader(status)
@@ -261,8 +261,8 @@
 	}
 }
 
-// Events implements forward.Sink.
-func (x *exchange) Events(b []byte) error {
+// WriteEvents implements forward.Sink.
+func (x *exchange) WriteEvents(b []byte) error {
 	if _, err := x.w.Write(b); err != nil {
 		return err
 	}
@@ -272,8 +272,8 @@
 // readBy is when a connection's reads end at the latest; connections wait by the steady
 // clock. Zero is no bound.
 func (x *exchange) readBy() time.Time {
-	if x.job.End.IsZero() {
+	if x.job.RespondBy.IsZero() {
 		return time.Time{}
 	}
-	return time.Now().Add(x.gateway.Clock.Until(x.job.End))
+	return time.Now().Add(x.gateway.Clock.Until(x.job.RespondBy))
 }
--- a/internal/core/gateway/share.go
+++ b/internal/core/gateway/share.go
@@ -23,8 +23,8 @@
 
 const (
 	// askSettingsPart and askReplicasPart ask for a part of the records.
-	askSettingsPart presence.Kind = 18
-	askReplicasPart presence.Kind = 19
+	askSettingsPart presence.QueryKind = 18
+	askReplicasPart presence.QueryKind = 19
 )
 
 // shared holds the records as the store gave them, for other gateways. The zero
@@ -34,16 +34,16 @@
 	settings []graniteknot.KeyedRecord
 	replicas map[string]graniteknot.KeyedRecord
 	// packed are the packs that were last begun to be sent, by kind.
-	packed map[presence.Kind]packedRecords
+	packed map[presence.QueryKind]packedRecords
 	// editions count the changes of the records, by kind.
-	editions map[presence.Kind]uint64
+	editions map[presence.QueryKind]uint64
 	// settingsShelf and replicasShelf have the packs that others are taking.
-	settingsShelf, replicasShelf presence.Shelf
+	settingsShelf, replicasShelf presence.PackCache
 }
 
 // packedRecords are packed records of an edition.
 type packedRecords struct {
-	presence.Packed
+	presence.PackedRecords
 
 	edition uint64
 }
@@ -73,49 +73,49 @@
 }
 
 // changed counts a change of a kind of records; called with the lock held.
-func (s *shared) changed(kind presence.Kind) {
+func (s *shared) changed(kind presence.QueryKind) {
 	if s.editions == nil {
-		s.editions = map[presence.Kind]uint64{}
+		s.editions = map[presence.QueryKind]uint64{}
 	}
 	s.editions[kind]++
 }
 
 // pack returns the records of a kind.
-func (s *shared) pack(kind presence.Kind) (presence.Packed, error) {
+func (s *shared) pack(kind presence.QueryKind) (presence.PackedRecords, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if known, ok := s.packed[kind]; ok && known.edition == s.editions[kind] {
-		return known.Packed, nil
+		return known.PackedRecords, nil
 	}
 	list := s.settings
 	if kind == askReplicasPart {
 		list = slices.SortedFunc(maps.Values(s.replicas), func(a, b graniteknot.KeyedRecord) int { return cmp.Compare(a.Key, b.Key) })
 	}
-	out, err := presence.Pack(list)
+	out, err := presence.PackRecords(list)
 	if err != nil {
 		return nil, err
 	}
 	if s.packed == nil {
-		s.packed = map[presence.Kind]packedRecords{}
+		s.packed = map[presence.QueryKind]packedRecords{}
 	}
 	s.packed[kind] = packedRecords{out, s.editions[kind]}
 	return out, nil
 }
 
 // part answers another gateway's question for a part.
-func (s *shared) part(kind presence.Kind, body []byte) ([]byte, error) {
+func (s *shared) part(kind presence.QueryKind, body []byte) ([]byte, error) {
 	shelf := &s.settingsShelf
 	if kind == askReplicasPart {
 		shelf = &s.replicasShelf
 	}
-	return shelf.Part(body, func() (presence.Packed, error) { return s.pack(kind) })
+	return shelf.ServePart(body, func() (presence.PackedRecords, error) { return s.pack(kind) })
 }
 
 // settingsElsewhere takes a newer configuration from a gateway that has one, where
 // the store does not answer; false when none has.
 func (g *Gateway) settingsElsewhere(ctx context.Context) bool {
 	known := uint64(0)
-	if tree, _ := g.Trees.Current(g.Clock.Now()); tree != nil {
+	if tree, _ := g.Catalog.Current(g.Clock.Now()); tree != nil {
 		known = uint64(tree.Version)
 	}
 	newer := func(state uint64) bool { return state > known }
@@ -132,17 +132,17 @@
 
 // elsewhere asks gateways in turn for what they know, and takes the records of the
 // first whose state is wanted.
-func (g *Gateway) elsewhere(ctx context.Context, stateKind, partKind presence.Kind, wanted func(uint64) bool, take func([]graniteknot.KeyedRecord, time.Time, source)) bool {
-	peers := g.Members.Living(presence.RoleGateway, g.Config.Box, g.Clock.Now())
+func (g *Gateway) elsewhere(ctx context.Context, stateKind, partKind presence.QueryKind, wanted func(uint64) bool, take func([]graniteknot.KeyedRecord, time.Time, source)) bool {
+	peers := g.Members.AliveMembers(presence.RoleGateway, g.Config.Box, g.Clock.Now())
 	first := rand.IntN(max(1, len(peers)))
 	for i := range min(revalidateTries, len(peers)) {
 		peer := peers[(first+i)%len(peers)]
 		asked := g.Clock.Now()
-		told, err := g.askPeer(ctx, peer.Peers, stateKind)
+		told, err := g.askPeer(ctx, peer.PeerAddress, stateKind)
 		if err != nil || !wanted(told.State) {
 			continue
 		}
-		records, err := g.socket.Fetch(ctx, peer.Peers, partKind)
+		records, err := g.socket.Fetch(ctx, peer.PeerAddress, partKind)
 		if err != nil {
 			g.Log.Warn("records of a peer", slog.String("peer", string(peer.Box)), slog.String("error", err.Error()))
 			continue
--- a/internal/core/gateway/share_test.go
+++ b/internal/core/gateway/share_test.go
@@ -52,7 +52,7 @@
 	part  func(offset uint64) any
 }
 
-func (l *liar) answer(_ context.Context, kind presence.Kind, body []byte) ([]byte, error) {
+func (l *liar) answer(_ context.Context, kind presence.QueryKind, body []byte) ([]byte, error) {
 	if kind == 16 {
 		return binary.AppendUvarint(binary.AppendUvarint(nil, 1000), 1), nil
 	}
@@ -87,8 +87,8 @@
 				t.Fatal(err)
 			}
 			defer socket.Close()
-			socket.Respond(lie.answer)
-			self := presence.Member{Box: graniteknot.BoxName(ip), Role: presence.RoleGateway, Zone: "z", Peers: peers, Born: 1}
+			socket.HandleQueries(lie.answer)
+			self := presence.Member{Box: graniteknot.BoxName(ip), Role: presence.RoleGateway, Zone: "z", PeerAddress: peers, Incarnation: 1}
 			record, err := json.Marshal(self)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/core/gateway/stop.go
+++ b/internal/core/gateway/stop.go
@@ -29,7 +29,7 @@
 	defer cancel()
 	g.servers.close(bounded)
 	g.group.Stop()
-	g.Forward.Stop()
+	g.Forwarder.Stop()
 	g.socket.Close()
 	g.Pool.Close()
 	g.Log.Info("stopped", eventlog.Milliseconds("took", time.Since(began)))
--- a/internal/core/gateway/translator.go
+++ b/internal/core/gateway/translator.go
@@ -11,7 +11,7 @@
 
 // Translator knows the words of a platform.
 type Translator interface {
-	forward.Dialect
+	forward.Codec
 	// Tree reads a settings record; nil for a record that is no configuration.
 	Tree(r graniteknot.KeyedRecord) (*catalog.Tree, error)
 	// Replica reads a replica's record.
@@ -24,15 +24,15 @@
 	// Refusal writes the headers of the product's own failures.
 	Refusal(to http.Header, id graniteknot.RequestID, again time.Duration)
 	// AskedFor reads a question for addresses, Addresses answers it.
-	AskedFor(r *http.Request) Question
+	AskedFor(r *http.Request) AddressQuery
 	Addresses(w http.ResponseWriter, list []graniteknot.Address, life time.Duration) error
 	// ReadyPath and DirectoryPath are where readiness and addresses are asked.
 	ReadyPath() string
 	DirectoryPath() string
 }
 
-// Question is a caller's question for addresses.
-type Question struct {
+// AddressQuery is a caller's question for addresses.
+type AddressQuery struct {
 	Host   string
 	Region string
 	Zone   graniteknot.AvailabilityZone
--- a/internal/core/gateway/turned_away_test.go
+++ b/internal/core/gateway/turned_away_test.go
@@ -45,7 +45,7 @@
 	const enough = 20
 	eventually(t, "the other one proves what is known", func() bool { return away.proofs() > enough })
 	way.cut.Store(false)
-	eventually(t, "served by the store again", func() bool { _, up := away.Health.Back(); return up })
+	eventually(t, "served by the store again", func() bool { _, up := away.Health.UpSince(); return up })
 	store.Put(graniteknot.TopicReplicas, leaves.ID, nil)
 	began := time.Now()
 	eventually(t, "the replica is let go", func() bool { all, _ := away.Fleet.Count("s", away.Clock.Now()); return all == 1 })
--- a/internal/core/gateway/validity.go
+++ b/internal/core/gateway/validity.go
@@ -21,17 +21,17 @@
 	begun     bool
 	// probed is when each topic's records were last read, or tried to be read,
 	// while the store did not answer.
-	probed map[presence.Kind]time.Time
+	probed map[presence.QueryKind]time.Time
 	// doubted is since when readers that answer prove nothing of a topic.
-	doubted map[presence.Kind]time.Time
+	doubted map[presence.QueryKind]time.Time
 }
 
 // probeDue tells whether a store that does not answer is to be called again.
-func (v *validity) probeDue(kind presence.Kind, period time.Duration, now time.Time) bool {
+func (v *validity) probeDue(kind presence.QueryKind, period time.Duration, now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.probed == nil {
-		v.probed = map[presence.Kind]time.Time{}
+		v.probed = map[presence.QueryKind]time.Time{}
 	}
 	if now.Sub(v.probed[kind]) < period {
 		return false
@@ -41,11 +41,11 @@
 }
 
 // doubt notes whether readers that answer prove nothing, and returns for how long.
-func (v *validity) doubt(kind presence.Kind, doubted bool, now time.Time) time.Duration {
+func (v *validity) doubt(kind presence.QueryKind, doubted bool, now time.Time) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.doubted == nil {
-		v.doubted = map[presence.Kind]time.Time{}
+		v.doubted = map[presence.QueryKind]time.Time{}
 	}
 	if !doubted {
 		delete(v.doubted, kind)
--- a/internal/core/gateway/virtual_rig_test.go
+++ b/internal/core/gateway/virtual_rig_test.go
@@ -99,9 +99,9 @@
 func (f *virtualFleet) start(b *virtualBox) {
 	f.t.Helper()
 	f.lives++
-	b.Gateway = gateway.New(gateway.Parts{
+	b.Gateway = gateway.New(gateway.Options{
 		Config: b.config, Store: b.way, Translator: platform.Dialect{}, Meter: meter.New(),
-		Born: graniteknot.Incarnation(f.lives), Clock: graniteknot.AgeClock{Suspension: &b.clock}, Network: &f.net,
+		Incarnation: graniteknot.Incarnation(f.lives), Clock: graniteknot.AgeClock{Suspension: &b.clock}, Network: &f.net,
 	})
 	if err := b.Start(context.Background()); err != nil {
 		f.t.Fatal(err)
@@ -167,7 +167,7 @@
 
 // inForce is the version that a box has in force; 0 for none.
 func (b *virtualBox) inForce() int {
-	tree, _ := b.Trees.Current(b.Clock.Now())
+	tree, _ := b.Catalog.Current(b.Clock.Now())
 	if tree == nil {
 		return 0
 	}
--- a/internal/core/gateway/ward.go
+++ b/internal/core/gateway/ward.go
@@ -28,7 +28,7 @@
 	if w.due == nil {
 		w.due = map[quarantine.Key]time.Time{}
 	}
-	if e.Blocks() != w.stored[e.Key] && (e.Blocks() || e.Released) {
+	if e.Quarantined() != w.stored[e.Key] && (e.Quarantined() || e.Released) {
 		w.due[e.Key] = due
 	}
 }
@@ -41,7 +41,7 @@
 		w.stored = map[quarantine.Key]bool{}
 	}
 	delete(w.due, e.Key)
-	if e.Blocks() {
+	if e.Quarantined() {
 		w.stored[e.Key] = true
 	} else {
 		delete(w.stored, e.Key)
--- a/internal/core/gateway/young.go
+++ b/internal/core/gateway/young.go
@@ -29,7 +29,7 @@
 func (g *Gateway) tree(ctx context.Context) (*catalog.Tree, time.Duration) {
 	for {
 		now := g.Clock.Now()
-		tree, age := g.Trees.Current(now)
+		tree, age := g.Catalog.Current(now)
 		if now.Sub(g.started) > youngFor || ctx.Err() != nil {
 			return tree, age
 		}
@@ -52,15 +52,15 @@
 	g.firstAsked = true
 	ctx, cancel := context.WithTimeout(g.group.Context(), firstAskTime)
 	defer cancel()
-	peers := g.Members.Living(presence.RoleGateway, g.Config.Box, g.Clock.Now())
+	peers := g.Members.AliveMembers(presence.RoleGateway, g.Config.Box, g.Clock.Now())
 	for _, i := range rand.Perm(len(peers))[:min(revalidateTries, len(peers))] {
 		asked := g.Clock.Now()
-		told, err := g.askPeer(ctx, peers[i].Peers, askSettings)
+		told, err := g.askPeer(ctx, peers[i].PeerAddress, askSettings)
 		if err != nil {
 			continue
 		}
 		if told.State > uint64(shown) {
-			g.takeBeforeFirst(ctx, &proof{from: peers[i], Standing: told, at: asked.Add(-told.Age)}, shown)
+			g.takeBeforeFirst(ctx, &proof{from: peers[i], TopicStatus: told, at: asked.Add(-told.Age)}, shown)
 		}
 		return
 	}
@@ -68,7 +68,7 @@
 
 // takeBeforeFirst takes the configuration of a gateway that has a newer one than the store shows.
 func (g *Gateway) takeBeforeFirst(ctx context.Context, p *proof, shown catalog.Version) {
-	records, err := g.socket.Fetch(ctx, p.from.Peers, askSettingsPart)
+	records, err := g.socket.Fetch(ctx, p.from.PeerAddress, askSettingsPart)
 	if err != nil {
 		g.Log.Warn("newer configuration", slog.String("peer", string(p.from.Box)), slog.String("error", err.Error()))
 		return
--- a/internal/core/mapkeeper/loop.go
+++ b/internal/core/mapkeeper/loop.go
@@ -21,8 +21,8 @@
 	switchTime = 5 * time.Second
 )
 
-// Ranks reaches the ranks of a group.
-type Ranks interface {
+// Transport reaches the ranks of a group.
+type Transport interface {
 	// Send brings a message to its rank and returns the answer, if there is
 	// one now.
 	Send(m expertmap.Message) (expertmap.Message, bool)
@@ -34,15 +34,15 @@
 
 // Loop keeps one group's map. Set the exported fields.
 type Loop struct {
-	Ranks   Ranks
-	Planner *planner.Planner
-	Keeper  *expertmap.Keeper
+	Transport   Transport
+	Planner     *planner.Planner
+	Coordinator *expertmap.Keeper
 	// Placement is the map in force at the begin.
 	Placement *planner.Placement
 	// Weights returns what skew and moving weigh now; nil leaves the planner's.
 	Weights func() planner.Weights
-	// Period is the time between plans.
-	Period time.Duration
+	// PlanInterval is the time between plans.
+	PlanInterval time.Duration
 	// ExpertSize is the size of one expert of one layer.
 	ExpertSize graniteknot.Bytes
 
@@ -66,8 +66,8 @@
 
 // Run keeps the map until ctx is done.
 func (l *Loop) Run(ctx context.Context) {
-	l.settle(ctx, l.Keeper.Tick())
-	ticker := time.NewTicker(l.Period)
+	l.settle(ctx, l.Coordinator.Tick())
+	ticker := time.NewTicker(l.PlanInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -82,15 +82,15 @@
 
 // replace follows up when a rank was replaced by one that knows nothing.
 func (l *Loop) replace(ctx context.Context) {
-	l.exchange(l.Keeper.Tick())
-	if born, lost := l.Keeper.Stranger(); lost {
+	l.exchange(l.Coordinator.Tick())
+	if born, lost := l.Coordinator.Stranger(); lost {
 		next := max(born, graniteknot.NewIncarnation(time.Now())) + 1
-		l.settle(ctx, l.Keeper.Adopt(next))
+		l.settle(ctx, l.Coordinator.Adopt(next))
 	}
 }
 
 func (l *Loop) plan(ctx context.Context) {
-	l.Planner.Observe(l.Ranks.Counts())
+	l.Planner.Observe(l.Transport.Counts())
 	if l.Weights != nil {
 		l.Planner.Weights = l.Weights()
 	}
@@ -107,15 +107,15 @@
 func (l *Loop) switchTo(ctx context.Context, b planner.Batch) bool {
 	next := l.Placement.Clone()
 	next.Apply(b)
-	version := l.Keeper.Current() + 1
-	l.Ranks.Offer(version, next)
-	messages, err := l.Keeper.Switch(version)
+	version := l.Coordinator.Current() + 1
+	l.Transport.Offer(version, next)
+	messages, err := l.Coordinator.Switch(version)
 	if err != nil {
 		return false
 	}
 	l.moves.Add(int64(len(b.Moves)))
 	l.settle(ctx, messages)
-	if l.Keeper.Current() != version {
+	if l.Coordinator.Current() != version {
 		l.abandoned.Add(1)
 		return false
 	}
@@ -132,14 +132,14 @@
 	defer timer.Stop()
 	ticker := time.NewTicker(resendPeriod)
 	defer ticker.Stop()
-	for l.Keeper.Phase() != expertmap.PhaseIdle {
+	for l.Coordinator.Phase() != expertmap.PhaseIdle {
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-			l.exchange(l.Keeper.GiveUp())
+			l.exchange(l.Coordinator.GiveUp())
 		case <-ticker.C:
-			l.exchange(l.Keeper.Tick())
+			l.exchange(l.Coordinator.Tick())
 		}
 	}
 }
@@ -148,8 +148,8 @@
 	for len(messages) > 0 {
 		m := messages[0]
 		messages = messages[1:]
-		if answer, ok := l.Ranks.Send(m); ok {
-			messages = append(messages, l.Keeper.Handle(answer)...)
+		if answer, ok := l.Transport.Send(m); ok {
+			messages = append(messages, l.Coordinator.Handle(answer)...)
 		}
 	}
 }
--- a/internal/core/presence/ask_test.go
+++ b/internal/core/presence/ask_test.go
@@ -22,19 +22,19 @@
 
 func TestAsk(t *testing.T) {
 	asker, asked := listen(t), listen(t)
-	asked.Respond(func(_ context.Context, kind presence.Kind, body []byte) ([]byte, error) {
+	asked.HandleQueries(func(_ context.Context, kind presence.QueryKind, body []byte) ([]byte, error) {
 		switch kind {
 		case 1:
 			return append([]byte("got "), body...), nil
 		case 2:
-			return make([]byte, presence.MostBody+1), nil
+			return make([]byte, presence.MaxBodyBytes+1), nil
 		}
 		return nil, errors.New("no such question")
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	// A datagram may be lost on loopback too, if hardly ever.
-	ask := func(kind presence.Kind, body string) (string, error) {
+	ask := func(kind presence.QueryKind, body string) (string, error) {
 		for {
 			short, stop := context.WithTimeout(ctx, time.Second)
 			got, err := asker.Ask(short, asked.Address(), kind, []byte(body))
@@ -54,7 +54,7 @@
 	if _, err := ask(3, ""); err == nil || errors.Is(err, presence.ErrTooLarge) {
 		t.Errorf("an unknown kind: %v", err)
 	}
-	if _, err := ask(1, string(make([]byte, presence.MostBody+1))); !errors.Is(err, presence.ErrTooLarge) {
+	if _, err := ask(1, string(make([]byte, presence.MaxBodyBytes+1))); !errors.Is(err, presence.ErrTooLarge) {
 		t.Errorf("a large question: %v", err)
 	}
 	silent := listen(t)
--- a/internal/core/presence/bundle.go
+++ b/internal/core/presence/bundle.go
@@ -13,44 +13,44 @@
 // Bundle is what a relay heard since its last one, for the gateways of its zone.
 type Bundle struct {
 	// Reports are of replicas, Forecasts what their groups' keepers foretold.
-	Reports   []Reported `cbor:"1,keyasint,omitempty"`
-	Forecasts []Foretold `cbor:"2,keyasint,omitempty"`
+	Reports   []RelayedReport `cbor:"1,keyasint,omitempty"`
+	Forecasts []Forecast      `cbor:"2,keyasint,omitempty"`
 	// Ready and Unready name gateways that were heard.
 	Ready   []uint32 `cbor:"3,keyasint,omitempty"`
 	Unready []uint32 `cbor:"4,keyasint,omitempty"`
 	// Joined describes gateways that are new.
 	Joined []Member `cbor:"5,keyasint,omitempty"`
-	// Settings is the newest version of the configuration that any of them has.
-	Settings uint64 `cbor:"6,keyasint,omitempty"`
-	// Lost names those of the gateways heard that the store does not answer.
-	Lost []uint32 `cbor:"7,keyasint,omitempty"`
+	// ConfigVersion is the newest version of the configuration that any of them has.
+	ConfigVersion uint64 `cbor:"6,keyasint,omitempty"`
+	// StoreLost names those of the gateways heard that the store does not answer.
+	StoreLost []uint32 `cbor:"7,keyasint,omitempty"`
 }
 
-// Reported is a digest as a relay passes it on.
-type Reported struct {
+// RelayedReport is a digest as a relay passes it on.
+type RelayedReport struct {
 	_       struct{} `cbor:",toarray"`
 	Target  netip.AddrPort
 	Running int
 	Waiting int
-	// Pass is in microseconds, as Digest's.
-	Pass int64
-	// Age is how long before the bundle the digest came, in milliseconds.
-	Age int64
+	// PassMicros is in microseconds, as Digest's.
+	PassMicros int64
+	// AgeMillis is how long before the bundle the digest came, in milliseconds.
+	AgeMillis int64
 	// Pace is in hundredths; 0 is unknown.
-	Pace int
-	Open bool
-	// Forecast is the place of the replica's forecast in the bundle, and 1; 0 is none.
-	Forecast int
-	// Life is Digest's.
-	Life catalog.Mark
+	Pace      int
+	GroupOpen bool
+	// ForecastIndex is the place of the replica's forecast in the bundle, and 1; 0 is none.
+	ForecastIndex int
+	// LifeMark is Digest's.
+	LifeMark catalog.Mark
 }
 
-// Foretold is a keeper's forecast as a relay passes it on.
-type Foretold struct {
-	_       struct{} `cbor:",toarray"`
-	Skew    float32
-	Loading bool
-	Number  uint64
+// Forecast is a keeper's forecast as a relay passes it on.
+type Forecast struct {
+	_        struct{} `cbor:",toarray"`
+	Skew     float32
+	Loading  bool
+	Sequence uint64
 }
 
 const (
@@ -77,7 +77,7 @@
 }
 
 type heardDigest struct {
-	digest Digest
+	digest LoadReport
 	at     time.Time
 }
 
@@ -86,8 +86,8 @@
 	since  time.Time
 }
 
-// Take takes in a message from another process.
-func (b *Bundler) Take(m *Message, now time.Time) {
+// Add takes in a message from another process.
+func (b *Bundler) Add(m *Message, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if m.Load != nil {
@@ -104,24 +104,24 @@
 		b.lost = map[graniteknot.BoxName]bool{}
 	}
 	b.ready[m.Box] = m.Ready
-	if m.Lost {
+	if m.StoreLost {
 		b.lost[m.Box] = true
 	} else {
 		delete(b.lost, m.Box)
 	}
-	b.settings = max(b.settings, m.Settings)
-	if known := b.joined[m.Box]; known.member.Born != m.Self.Born {
+	b.settings = max(b.settings, m.ConfigVersion)
+	if known := b.joined[m.Box]; known.member.Incarnation != m.Self.Incarnation {
 		b.joined[m.Box] = joinedMember{*m.Self, now}
 	}
 }
 
-// Bundles returns what was heard since the last call.
-func (b *Bundler) Bundles(now time.Time) []Bundle {
+// Flush returns what was heard since the last call.
+func (b *Bundler) Flush(now time.Time) []Bundle {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := b.reported(now)
 	var rest Bundle
-	rest.Settings = b.settings
+	rest.ConfigVersion = b.settings
 	for box, ready := range b.ready {
 		if ready {
 			rest.Ready = append(rest.Ready, nameOf(box))
@@ -129,10 +129,10 @@
 			rest.Unready = append(rest.Unready, nameOf(box))
 		}
 		if b.lost[box] {
-			rest.Lost = append(rest.Lost, nameOf(box))
+			rest.StoreLost = append(rest.StoreLost, nameOf(box))
 		}
-		if len(rest.Ready)+len(rest.Unready)+len(rest.Lost) >= mostNames {
-			out, rest = append(out, rest), Bundle{Settings: b.settings}
+		if len(rest.Ready)+len(rest.Unready)+len(rest.StoreLost) >= mostNames {
+			out, rest = append(out, rest), Bundle{ConfigVersion: b.settings}
 		}
 	}
 	out = append(out, rest)
@@ -154,10 +154,10 @@
 			// Nobody can be sent requests there.
 			continue
 		}
-		one.Reports = append(one.Reports, Reported{
-			Target: target, Running: h.digest.Running, Waiting: h.digest.Waiting, Pass: h.digest.Pass,
-			Age: now.Sub(h.at).Milliseconds(), Pace: int(paceUnit*h.digest.Pace + 0.5), Open: h.digest.Open, Forecast: one.forecast(&h.digest),
-			Life: h.digest.Life,
+		one.Reports = append(one.Reports, RelayedReport{
+			Target: target, Running: h.digest.Running, Waiting: h.digest.Waiting, PassMicros: h.digest.PassMicros,
+			AgeMillis: now.Sub(h.at).Milliseconds(), Pace: int(paceUnit*h.digest.Pace + 0.5), GroupOpen: h.digest.GroupOpen, ForecastIndex: one.forecast(&h.digest),
+			LifeMark: h.digest.LifeMark,
 		})
 		if len(one.Reports) == mostReports {
 			out, one = append(out, one), Bundle{}
@@ -170,11 +170,11 @@
 }
 
 // forecast returns the place of a digest's forecast, and 1.
-func (b *Bundle) forecast(d *Digest) int {
-	if d.Forecast == 0 {
+func (b *Bundle) forecast(d *LoadReport) int {
+	if d.ForecastSequence == 0 {
 		return 0
 	}
-	f := Foretold{Skew: d.Skew, Loading: d.Loading, Number: d.Forecast}
+	f := Forecast{Skew: d.Skew, Loading: d.Loading, Sequence: d.ForecastSequence}
 	at := slices.Index(b.Forecasts, f)
 	if at < 0 {
 		at = len(b.Forecasts)
@@ -183,15 +183,15 @@
 	return at + 1
 }
 
-// Digest returns a report as its sidecar told it.
-func (b *Bundle) Digest(r *Reported) Digest {
-	d := Digest{
-		Target: graniteknot.Address(r.Target.String()), Running: r.Running, Waiting: r.Waiting, Pass: r.Pass,
-		Pace: float32(r.Pace) / paceUnit, Open: r.Open, Life: r.Life,
+// LoadReport returns a report as its sidecar told it.
+func (b *Bundle) LoadReport(r *RelayedReport) LoadReport {
+	d := LoadReport{
+		Target: graniteknot.Address(r.Target.String()), Running: r.Running, Waiting: r.Waiting, PassMicros: r.PassMicros,
+		Pace: float32(r.Pace) / paceUnit, GroupOpen: r.GroupOpen, LifeMark: r.LifeMark,
 	}
-	if at := r.Forecast - 1; at >= 0 && at < len(b.Forecasts) {
+	if at := r.ForecastIndex - 1; at >= 0 && at < len(b.Forecasts) {
 		f := b.Forecasts[at]
-		d.Skew, d.Loading, d.Forecast = f.Skew, f.Loading, f.Number
+		d.Skew, d.Loading, d.ForecastSequence = f.Skew, f.Loading, f.Sequence
 	}
 	return d
 }
--- a/internal/core/presence/census.go
+++ b/internal/core/presence/census.go
@@ -11,33 +11,33 @@
 
 // The questions for who is known: for a digest, and for a part of the records.
 const (
-	askMembers     Kind = 20
-	askMembersPart Kind = 21
+	askMembers     QueryKind = 20
+	askMembersPart QueryKind = 21
 )
 
 const (
-	// CensusPeriod is the time between two questions to a gateway whether it knows of
+	// MemberSyncInterval is the time between two questions to a gateway whether it knows of
 	// others. New gateways are heard of sooner; a sidecar at a new address is told by
 	// gateways from then on, and tells them by itself.
-	CensusPeriod = time.Second
+	MemberSyncInterval = time.Second
 	// censusTime bounds a question, censusTries how many gateways are asked.
 	censusTime  = 150 * time.Millisecond
 	censusTries = 2
 )
 
-// Census learns from gateways who is known, in place of the store: where each process
+// MemberSync learns from gateways who is known, in place of the store: where each process
 // follows the store's records itself, a start of 278 made some 1,500 calls. Set the
 // exported fields.
-type Census struct {
+type MemberSync struct {
 	Socket *Socket
 	View   *View
 	Self   Member
 	// Clock is what ages are decided by.
 	Clock graniteknot.AgeClock
-	// From returns whom to ask; nil for the gateways that are told directly. Gateways ask
+	// Sources returns whom to ask; nil for the gateways that are told directly. Gateways ask
 	// the readers: relays that asked each other would never learn of a process whose
 	// record none of them has read.
-	From func(now time.Time) []graniteknot.Address
+	Sources func(now time.Time) []graniteknot.Address
 
 	mu sync.Mutex
 	// turn is whom to ask next; taken is the digest of what was last taken in.
@@ -45,14 +45,14 @@
 	taken uint64
 	// packed are the records as they were last packed, of the digest; shelf has the packs that
 	// others are taking.
-	packed Packed
+	packed PackedRecords
 	digest uint64
-	shelf  Shelf
+	shelf  PackCache
 }
 
-// Ask asks a gateway or two who they know, and takes in what is new; false when none
+// Sync asks a gateway or two who they know, and takes in what is new; false when none
 // answers. It is for Registrar's Elsewhere.
-func (c *Census) Ask(ctx context.Context) bool {
+func (c *MemberSync) Sync(ctx context.Context) bool {
 	to := c.from(c.Clock.Now())
 	if len(to) == 0 {
 		return false
@@ -65,21 +65,21 @@
 	return false
 }
 
-func (c *Census) from(now time.Time) []graniteknot.Address {
-	if c.From != nil {
-		return c.From(now)
+func (c *MemberSync) from(now time.Time) []graniteknot.Address {
+	if c.Sources != nil {
+		return c.Sources(now)
 	}
-	return c.View.Audience(c.Self.Box, now)
+	return c.View.DirectGateways(c.Self.Box, now)
 }
 
-func (c *Census) next() int {
+func (c *MemberSync) next() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.turn++
 	return c.turn
 }
 
-func (c *Census) ask(ctx context.Context, from graniteknot.Address) bool {
+func (c *MemberSync) ask(ctx context.Context, from graniteknot.Address) bool {
 	short, cancel := context.WithTimeout(ctx, censusTime)
 	defer cancel()
 	body, err := c.Socket.Ask(short, from, askMembers, nil)
@@ -102,14 +102,14 @@
 		if err != nil || m.Box == c.Self.Box {
 			continue
 		}
-		c.View.PutAt(m, r.At, c.Clock.Now())
+		c.View.PutRecord(m, r.At, c.Clock.Now())
 	}
 	return true
 }
 
 // other tells whether a digest is not that of what was last taken in: who knows less
 // than this process is not to be asked again and again.
-func (c *Census) other(digest uint64) bool {
+func (c *MemberSync) other(digest uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	before := c.taken
@@ -117,27 +117,27 @@
 	return digest != before
 }
 
-// Answer answers the questions of others; false for those of another kind.
-func (c *Census) Answer(kind Kind, body []byte) ([]byte, bool, error) {
+// HandleQuery answers the questions of others; false for those of another kind.
+func (c *MemberSync) HandleQuery(kind QueryKind, body []byte) ([]byte, bool, error) {
 	switch kind {
 	case askMembers:
 		return binary.AppendUvarint(nil, c.View.Digest(c.Self)), true, nil
 	case askMembersPart:
-		out, err := c.shelf.Part(body, c.pack)
+		out, err := c.shelf.ServePart(body, c.pack)
 		return out, true, err
 	}
 	return nil, false, nil
 }
 
 // pack returns the records.
-func (c *Census) pack() (Packed, error) {
+func (c *MemberSync) pack() (PackedRecords, error) {
 	digest := c.View.Digest(c.Self)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.packed != nil && digest == c.digest {
 		return c.packed, nil
 	}
-	packed, err := Pack(c.View.records(c.Self))
+	packed, err := PackRecords(c.View.records(c.Self))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/core/presence/census_test.go
+++ b/internal/core/presence/census_test.go
@@ -16,19 +16,19 @@
 // informed is a process with a socket and a view.
 type informed struct {
 	view   presence.View
-	census presence.Census
+	census presence.MemberSync
 }
 
 func newInformed(t *testing.T, role presence.Role, box graniteknot.BoxName) *informed {
 	t.Helper()
 	s := listen(t)
 	p := &informed{}
-	p.census = presence.Census{
+	p.census = presence.MemberSync{
 		Socket: s, View: &p.view,
-		Self: presence.Member{Box: box, Role: role, Zone: "z", Peers: s.Address(), Born: graniteknot.Incarnation(len(box))},
+		Self: presence.Member{Box: box, Role: role, Zone: "z", PeerAddress: s.Address(), Incarnation: graniteknot.Incarnation(len(box))},
 	}
-	s.Respond(func(_ context.Context, kind presence.Kind, body []byte) ([]byte, error) {
-		out, mine, err := p.census.Answer(kind, body)
+	s.HandleQueries(func(_ context.Context, kind presence.QueryKind, body []byte) ([]byte, error) {
+		out, mine, err := p.census.HandleQuery(kind, body)
 		if !mine {
 			return nil, errKind
 		}
@@ -45,13 +45,13 @@
 	const others = 200
 	for i := range others {
 		m := member(graniteknot.BoxName("other-"+strconv.Itoa(i)), 5)
-		gateway.view.PutAt(m, graniteknot.Position(i), now)
+		gateway.view.PutRecord(m, graniteknot.Position(i), now)
 	}
-	sidecar.view.PutAt(gateway.census.Self, 300, now)
+	sidecar.view.PutRecord(gateway.census.Self, 300, now)
 	renewed := member("other-0", 6)
-	sidecar.view.PutAt(renewed, 301, now)
+	sidecar.view.PutRecord(renewed, 301, now)
 	for range 20 {
-		if sidecar.census.Ask(t.Context()) && len(sidecar.view.Members(presence.RoleGateway, "")) > 2 {
+		if sidecar.census.Sync(t.Context()) && len(sidecar.view.Members(presence.RoleGateway, "")) > 2 {
 			break
 		}
 	}
@@ -60,12 +60,12 @@
 		t.Fatalf("%d gateways are known", len(known))
 	}
 	for _, m := range known {
-		if m.Box == renewed.Box && m.Born != renewed.Born {
+		if m.Box == renewed.Box && m.Incarnation != renewed.Incarnation {
 			t.Errorf("%+v is known in the place of %+v", m, renewed)
 		}
 	}
 	alone := newInformed(t, presence.RoleSidecar, "a")
-	if alone.census.Ask(t.Context()) {
+	if alone.census.Sync(t.Context()) {
 		t.Error("nobody was there to answer")
 	}
 }
--- a/internal/core/presence/digest.go
+++ b/internal/core/presence/digest.go
@@ -15,12 +15,12 @@
 	digestRate = 100
 )
 
-// RelayedPeriod is the time between two digests of a sidecar to relays: two of its looks
+// RelayedReportInterval is the time between two digests of a sidecar to relays: two of its looks
 // at its rank.
-const RelayedPeriod = 240 * time.Millisecond
+const RelayedReportInterval = 240 * time.Millisecond
 
-// DigestPeriod is the time between two digests of a sidecar to each of so many
+// ReportInterval is the time between two digests of a sidecar to each of so many
 // gateways. Both sides work it out.
-func DigestPeriod(gateways int) time.Duration {
+func ReportInterval(gateways int) time.Duration {
 	return min(max(leastDigestPeriod, time.Duration(gateways)*time.Second/digestRate), mostDigestPeriod)
 }
--- a/internal/core/presence/digest_test.go
+++ b/internal/core/presence/digest_test.go
@@ -14,7 +14,7 @@
 		0: 120 * time.Millisecond, 6: 120 * time.Millisecond, 12: 120 * time.Millisecond,
 		32: 320 * time.Millisecond, 40: 400 * time.Millisecond, 370: 400 * time.Millisecond,
 	} {
-		if got := presence.DigestPeriod(gateways); got != want {
+		if got := presence.ReportInterval(gateways); got != want {
 			t.Errorf("%d gateways: %v, want %v", gateways, got, want)
 		}
 	}
--- a/internal/core/presence/fuzz_test.go
+++ b/internal/core/presence/fuzz_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	last, got := make(chan struct{}), presence.Message{Settings: 1}
+	last, got := make(chan struct{}), presence.Message{ConfigVersion: 1}
 	taker, err := n.ListenPacket(context.Background(), "10.0.0.4:4")
 	if err != nil {
 		t.Fatal(err)
@@ -47,15 +47,15 @@
 
 // FuzzDatagram has a process read any datagram, take in what it says and pass it on.
 func FuzzDatagram(f *testing.F) {
-	member := presence.Member{Box: "b", Role: presence.RoleGateway, Zone: "z", Peers: "10.0.0.9:4", Born: 3}
-	load := presence.Digest{Target: "10.0.0.8:80", Running: 2, Open: true, Skew: 1.2, Forecast: 4}
-	bundle := presence.Bundle{Ready: []uint32{1}, Lost: []uint32{1}, Settings: 4, Joined: []presence.Member{member}}
+	member := presence.Member{Box: "b", Role: presence.RoleGateway, Zone: "z", PeerAddress: "10.0.0.9:4", Incarnation: 3}
+	load := presence.LoadReport{Target: "10.0.0.8:80", Running: 2, GroupOpen: true, Skew: 1.2, ForecastSequence: 4}
+	bundle := presence.Bundle{Ready: []uint32{1}, StoreLost: []uint32{1}, ConfigVersion: 4, Joined: []presence.Member{member}}
 	for _, m := range []presence.Message{
-		{Box: "b", Self: &member, Ready: true, Settings: 3, Lost: true},
+		{Box: "b", Self: &member, Ready: true, ConfigVersion: 3, StoreLost: true},
 		{Box: "s", Load: &load},
 		{Box: "b", Relay: true, Bundle: &bundle},
-		{Box: "b", Question: &presence.Question{Number: 1, Kind: 16, Body: []byte{1}}},
-		{Box: "b", Answer: &presence.Answer{Number: 1, Body: []byte{1}}},
+		{Box: "b", Query: &presence.Query{ID: 1, Kind: 16, Body: []byte{1}}},
+		{Box: "b", Reply: &presence.Reply{ID: 1, Body: []byte{1}}},
 	} {
 		b, err := cbor.Marshal(&m)
 		if err != nil {
@@ -73,33 +73,33 @@
 		var bundler presence.Bundler
 		deliver(t, body, func(m *presence.Message) {
 			if m.Bundle != nil {
-				view.Told(m, now)
+				view.ApplyBundle(m, now)
 				for i := range m.Bundle.Reports {
-					m.Bundle.Digest(&m.Bundle.Reports[i])
+					m.Bundle.LoadReport(&m.Bundle.Reports[i])
 				}
 				return
 			}
-			view.Heard(m, now)
-			bundler.Take(m, now)
-			for _, b := range bundler.Bundles(now) {
+			view.ApplyMessage(m, now)
+			bundler.Add(m, now)
+			for _, b := range bundler.Flush(now) {
 				if out, err := cbor.Marshal(&presence.Message{Bundle: &b}); err != nil || len(out) > largest {
 					t.Errorf("a bundle of %d bytes: %v", len(out), err)
 				}
 			}
 		})
-		view.Audience("own", now)
+		view.DirectGateways("own", now)
 		view.Digest(member)
 	})
 }
 
 // FuzzParts takes records from a process that answers with any bytes.
 func FuzzParts(f *testing.F) {
-	packed, err := presence.Pack([]graniteknot.KeyedRecord{{Key: "k", Value: []byte("v")}})
+	packed, err := presence.PackRecords([]graniteknot.KeyedRecord{{Key: "k", Value: []byte("v")}})
 	if err != nil {
 		f.Fatal(err)
 	}
-	var shelf presence.Shelf
-	first, err := shelf.Part([]byte{0}, func() (presence.Packed, error) { return packed, nil })
+	var shelf presence.PackCache
+	first, err := shelf.ServePart([]byte{0}, func() (presence.PackedRecords, error) { return packed, nil })
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -110,7 +110,7 @@
 		asker, holder := sockets(t, &n)
 		defer asker.Close()
 		defer holder.Close()
-		holder.Respond(func(_ context.Context, _ presence.Kind, body []byte) ([]byte, error) {
+		holder.HandleQueries(func(_ context.Context, _ presence.QueryKind, body []byte) ([]byte, error) {
 			if len(body) == 1 {
 				return first, nil
 			}
--- a/internal/core/presence/member.go
+++ b/internal/core/presence/member.go
@@ -23,16 +23,16 @@
 	Box  graniteknot.BoxName          `json:"box" cbor:"1,keyasint"`
 	Role Role                         `json:"role" cbor:"2,keyasint"`
 	Zone graniteknot.AvailabilityZone `json:"zone" cbor:"3,keyasint"`
-	// Peers is where it takes datagrams.
-	Peers graniteknot.Address `json:"peers" cbor:"4,keyasint"`
-	// Requests is where a gateway takes callers' requests.
-	Requests graniteknot.Address `json:"requests,omitempty" cbor:"5,keyasint,omitempty"`
+	// PeerAddress is where it takes datagrams.
+	PeerAddress graniteknot.Address `json:"peers" cbor:"4,keyasint"`
+	// RequestAddress is where a gateway takes callers' requests.
+	RequestAddress graniteknot.Address `json:"requests,omitempty" cbor:"5,keyasint,omitempty"`
 	// Target is a sidecar's replica.
 	Target graniteknot.Address `json:"target,omitempty" cbor:"7,keyasint,omitempty"`
-	// Born tells this life of the process from others; it is a random number.
-	Born graniteknot.Incarnation `json:"born" cbor:"6,keyasint"`
-	// Link is what its box can send, in bytes a second; 0 is unknown.
-	Link float64 `json:"link,omitempty" cbor:"8,keyasint,omitempty"`
+	// Incarnation tells this life of the process from others; it is a random number.
+	Incarnation graniteknot.Incarnation `json:"born" cbor:"6,keyasint"`
+	// LinkRate is what its box can send, in bytes a second; 0 is unknown.
+	LinkRate float64 `json:"link,omitempty" cbor:"8,keyasint,omitempty"`
 }
 
 // memberOf reads a member's record. Whatever is not as members write it is another
@@ -53,13 +53,13 @@
 	if m.Role != RoleGateway && m.Role != RoleSidecar {
 		return fmt.Errorf("role %.80q", m.Role)
 	}
-	if _, err := netip.ParseAddrPort(string(m.Peers)); err != nil {
+	if _, err := netip.ParseAddrPort(string(m.PeerAddress)); err != nil {
 		return err
 	}
-	if m.Requests == "" {
+	if m.RequestAddress == "" {
 		return nil
 	}
-	_, err := netip.ParseAddrPort(string(m.Requests))
+	_, err := netip.ParseAddrPort(string(m.RequestAddress))
 	return err
 }
 
--- a/internal/core/presence/parts.go
+++ b/internal/core/presence/parts.go
@@ -36,11 +36,11 @@
 // ErrMalformed is an answer that can't be read.
 var ErrMalformed = errors.New("malformed answer")
 
-// Packed is records ready to be taken by others.
-type Packed []byte
+// PackedRecords is records ready to be taken by others.
+type PackedRecords []byte
 
-// Pack packs records.
-func Pack(list []graniteknot.KeyedRecord) (Packed, error) {
+// PackRecords packs records.
+func PackRecords(list []graniteknot.KeyedRecord) (PackedRecords, error) {
 	plain, err := cbor.Marshal(list)
 	if err != nil {
 		return nil, err
@@ -76,7 +76,7 @@
 }
 
 // part answers a question for the part at an offset of a pack with a digest.
-func (p Packed) part(offset, digest uint64) ([]byte, error) {
+func (p PackedRecords) part(offset, digest uint64) ([]byte, error) {
 	if offset > uint64(len(p)) {
 		return nil, ErrMalformed
 	}
@@ -85,7 +85,7 @@
 }
 
 // Fetch takes all records of a kind from the process at an address.
-func (s *Socket) Fetch(ctx context.Context, from graniteknot.Address, kind Kind) ([]graniteknot.KeyedRecord, error) {
+func (s *Socket) Fetch(ctx context.Context, from graniteknot.Address, kind QueryKind) ([]graniteknot.KeyedRecord, error) {
 	first, err := s.fetchPart(ctx, from, kind, question(0, 0))
 	if err != nil {
 		return nil, err
@@ -104,7 +104,7 @@
 }
 
 // fetchRest takes all parts but the first, several at a time.
-func (s *Socket) fetchRest(ctx context.Context, from graniteknot.Address, kind Kind, first *part, whole []byte) error {
+func (s *Socket) fetchRest(ctx context.Context, from graniteknot.Address, kind QueryKind, first *part, whole []byte) error {
 	if len(first.Bytes) == 0 {
 		return ErrMalformed
 	}
@@ -131,7 +131,7 @@
 }
 
 // fetchInto takes the part at a place of the whole.
-func (s *Socket) fetchInto(ctx context.Context, from graniteknot.Address, kind Kind, first *part, whole []byte, at int) error {
+func (s *Socket) fetchInto(ctx context.Context, from graniteknot.Address, kind QueryKind, first *part, whole []byte, at int) error {
 	one, err := s.fetchPart(ctx, from, kind, question(at, first.Digest))
 	if err != nil {
 		return err
@@ -143,7 +143,7 @@
 	return nil
 }
 
-func (s *Socket) fetchPart(ctx context.Context, from graniteknot.Address, kind Kind, question []byte) (*part, error) {
+func (s *Socket) fetchPart(ctx context.Context, from graniteknot.Address, kind QueryKind, question []byte) (*part, error) {
 	var last error
 	for range partTries {
 		short, cancel := context.WithTimeout(ctx, partTime)
--- a/internal/core/presence/parts_test.go
+++ b/internal/core/presence/parts_test.go
@@ -16,7 +16,7 @@
 	"graniteknot.org/go/internal/standin/network"
 )
 
-const partsKind presence.Kind = 90
+const partsKind presence.QueryKind = 90
 
 // records returns records that hardly pack, of so many bytes in all.
 func records(seed uint64, size int) []graniteknot.KeyedRecord {
@@ -50,10 +50,10 @@
 		defer asker.Close()
 		defer holder.Close()
 		var edition atomic.Uint64
-		var shelf presence.Shelf
-		holder.Respond(func(_ context.Context, _ presence.Kind, body []byte) ([]byte, error) {
-			return shelf.Part(body, func() (presence.Packed, error) {
-				return presence.Pack(records(edition.Add(1), 20_000))
+		var shelf presence.PackCache
+		holder.HandleQueries(func(_ context.Context, _ presence.QueryKind, body []byte) ([]byte, error) {
+			return shelf.ServePart(body, func() (presence.PackedRecords, error) {
+				return presence.PackRecords(records(edition.Add(1), 20_000))
 			})
 		})
 		var askers group.Group
@@ -86,9 +86,9 @@
 		asker, holder := sockets(t, n)
 		defer asker.Close()
 		defer holder.Close()
-		var shelf presence.Shelf
-		holder.Respond(func(_ context.Context, _ presence.Kind, body []byte) ([]byte, error) {
-			return shelf.Part(body, func() (presence.Packed, error) { return presence.Pack(records(1, size)) })
+		var shelf presence.PackCache
+		holder.HandleQueries(func(_ context.Context, _ presence.QueryKind, body []byte) ([]byte, error) {
+			return shelf.ServePart(body, func() (presence.PackedRecords, error) { return presence.PackRecords(records(1, size)) })
 		})
 		began := time.Now()
 		got, err := asker.Fetch(context.Background(), "10.0.0.2:4", partsKind)
--- a/internal/core/presence/registrar.go
+++ b/internal/core/presence/registrar.go
@@ -37,16 +37,16 @@
 	Log    *eventlog.Log
 	// Clock is what ages are decided by.
 	Clock graniteknot.AgeClock
-	// Joined is called when a member is new, or a new life of one; nil for
+	// OnJoin is called when a member is new, or a new life of one; nil for
 	// nothing.
-	Joined func(Member)
-	// Met is called once, when the members' records were first read or could not be; unknown
+	OnJoin func(Member)
+	// OnFirstRead is called once, when the members' records were first read or could not be; unknown
 	// tells that they were, and that none is of this process or a former life of it. Nil for
 	// nothing.
-	Met func(unknown bool)
-	// Elsewhere learns from other processes who is known, in place of a call to the
+	OnFirstRead func(unknown bool)
+	// SyncFromPeer learns from other processes who is known, in place of a call to the
 	// store; false when none answers. Nil where nobody does.
-	Elsewhere func(ctx context.Context) bool
+	SyncFromPeer func(ctx context.Context) bool
 
 	// renewed is the era in which records are to be written again; 0 for none. Only the
 	// follower touches it.
@@ -75,8 +75,8 @@
 	for ctx.Err() == nil && !r.known.Load() {
 		at, err := r.Store.Append(ctx, graniteknot.TopicMembers, graniteknot.KeyedRecord{Key: string(r.Self.Box), Value: value})
 		if err == nil {
-			r.View.Registered(at)
-			r.Log.Info("registered", slog.Int64("position", at.Offset()), slog.Uint64("born", uint64(r.Self.Born)))
+			r.View.SetOwnPosition(at)
+			r.Log.Info("registered", slog.Int64("position", at.Offset()), slog.Uint64("born", uint64(r.Self.Incarnation)))
 			return
 		}
 		// Registering twice is harmless.
@@ -93,8 +93,8 @@
 func (r *Registrar) Follow(ctx context.Context) {
 	var once sync.Once
 	met := func(unknown bool) {
-		if r.Met != nil {
-			once.Do(func() { r.Met(unknown) })
+		if r.OnFirstRead != nil {
+			once.Do(func() { r.OnFirstRead(unknown) })
 		}
 	}
 	var again group.Group
@@ -109,17 +109,17 @@
 		}
 	}
 	follower := watch.Follower{
-		Store: r.Store, Topic: graniteknot.TopicMembers, Health: r.Health, Clock: r.Clock, Wait: followWait, Pause: followPause,
-		Newest: newest, Next: r.take, Failed: func(error) { met(false) }, Revalidate: r.Elsewhere, RevalidatePause: CensusPeriod,
-		Renewed: func(era graniteknot.Era) { r.renewed = era },
+		Store: r.Store, Topic: graniteknot.TopicMembers, Health: r.Health, Clock: r.Clock, PollWait: followWait, ReadPause: followPause,
+		OnNewest: newest, OnNext: r.take, OnFailure: func(error) { met(false) }, Revalidate: r.SyncFromPeer, RevalidateInterval: MemberSyncInterval,
+		OnRestore: func(era graniteknot.Era) { r.renewed = era },
 	}
 	follower.Run(ctx)
 }
 
 // own notes the own record, of this life or a former one.
 func (r *Registrar) own(m Member, at graniteknot.Position) {
-	r.View.Registered(at)
-	m.Born = r.Self.Born
+	r.View.SetOwnPosition(at)
+	m.Incarnation = r.Self.Incarnation
 	if m == r.Self {
 		r.known.Store(true)
 	}
@@ -140,13 +140,13 @@
 			r.own(m, record.At)
 			continue
 		}
-		if !r.View.PutAt(m, record.At, r.Clock.Now()) {
+		if !r.View.PutRecord(m, record.At, r.Clock.Now()) {
 			continue
 		}
 		r.Log.Info("member", slog.String("member", string(m.Box)), slog.String("member_role", string(m.Role)),
-			slog.Uint64("born", uint64(m.Born)), slog.Int64("position", record.At.Offset()))
-		if r.Joined != nil {
-			r.Joined(m)
+			slog.Uint64("born", uint64(m.Incarnation)), slog.Int64("position", record.At.Offset()))
+		if r.OnJoin != nil {
+			r.OnJoin(m)
 		}
 	}
 }
--- a/internal/core/presence/relay.go
+++ b/internal/core/presence/relay.go
@@ -18,15 +18,15 @@
 // many or too few for a moment. Where no relay of a zone is heard, all its gateways are
 // told directly.
 const (
-	// RelayedFleet is the number of gateways up to which each is told directly.
-	RelayedFleet = 12
+	// MaxDirectGateways is the number of gateways up to which each is told directly.
+	MaxDirectGateways = 12
 	// relaysPerZone is how many relays a zone has: the loss of one costs nothing.
 	relaysPerZone = 2
-	// BundlePeriod is the time between two bundles of a relay: with the period of
+	// BundleInterval is the time between two bundles of a relay: with the period of
 	// digests to relays, what gateways know is as old as digests to 40 gateways were.
-	BundlePeriod = 200 * time.Millisecond
-	// RelayPeriod is how often a relay tells all others that it is one.
-	RelayPeriod = 800 * time.Millisecond
+	BundleInterval = 200 * time.Millisecond
+	// RelayAnnounceInterval is how often a relay tells all others that it is one.
+	RelayAnnounceInterval = 800 * time.Millisecond
 	// relaySilence is how long a relay is told on that is not heard: two of its words
 	// may be lost.
 	relaySilence = 2 * time.Second
@@ -36,13 +36,13 @@
 	mostFrozen = 5 * time.Second
 )
 
-// Relaying tells whether a gateway is a relay of its zone: whether it is among the
+// UpdateRelaying tells whether a gateway is a relay of its zone: whether it is among the
 // first that live, the ones with the widest links first. One that is about to end is
 // none.
-func (v *View) Relaying(self Member, stays bool, now time.Time) bool {
+func (v *View) UpdateRelaying(self Member, stays bool, now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.relaying = stays && v.gateways()+1 > RelayedFleet && v.first(self, now)
+	v.relaying = stays && v.gateways()+1 > MaxDirectGateways && v.first(self, now)
 	return v.relaying
 }
 
@@ -71,7 +71,7 @@
 
 // order says which of two gateways relays first.
 func order(a, b Member) int {
-	return cmp.Or(cmp.Compare(b.Link, a.Link), cmp.Compare(nameOf(a.Box), nameOf(b.Box)))
+	return cmp.Or(cmp.Compare(b.LinkRate, a.LinkRate), cmp.Compare(nameOf(a.Box), nameOf(b.Box)))
 }
 
 // nameOf is what bundles call a box by. Two boxes with the same would be taken for
@@ -79,10 +79,10 @@
 // deployments.
 func nameOf(box graniteknot.BoxName) uint32 { return uint32(xxhash.Sum64String(string(box))) }
 
-// Audience returns where the gateways are to be told that are told directly, but for
+// DirectGateways returns where the gateways are to be told that are told directly, but for
 // one box: all in a small deployment, else the relays of each zone and all gateways
 // of zones of which no relay is heard.
-func (v *View) Audience(but graniteknot.BoxName, now time.Time) []graniteknot.Address {
+func (v *View) DirectGateways(but graniteknot.BoxName, now time.Time) []graniteknot.Address {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var all, relays []*peer
@@ -97,15 +97,15 @@
 			relayed[p.Zone] = true
 		}
 	}
-	if len(all) > RelayedFleet {
+	if len(all) > MaxDirectGateways {
 		all = slices.DeleteFunc(all, func(p *peer) bool { return relayed[p.Zone] })
 		all = append(all, relays...)
 	}
 	return addresses(all)
 }
 
-// InZone returns where a relay tells the gateways of its zone.
-func (v *View) InZone(self Member) []graniteknot.Address {
+// ZoneGateways returns where a relay tells the gateways of its zone.
+func (v *View) ZoneGateways(self Member) []graniteknot.Address {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var all []*peer
@@ -121,14 +121,14 @@
 func addresses(all []*peer) []graniteknot.Address {
 	out := make([]graniteknot.Address, len(all))
 	for i, p := range all {
-		out[i] = p.Peers
+		out[i] = p.PeerAddress
 	}
 	slices.Sort(out)
 	return out
 }
 
-// Told takes in a bundle.
-func (v *View) Told(m *Message, now time.Time) {
+// ApplyBundle takes in a bundle.
+func (v *View) ApplyBundle(m *Message, now time.Time) {
 	b := m.Bundle
 	for _, joined := range b.Joined {
 		v.Put(joined, now)
@@ -136,10 +136,10 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.told = now
-	v.settings = max(v.settings, b.Settings, m.Settings)
+	v.settings = max(v.settings, b.ConfigVersion, m.ConfigVersion)
 	if p := v.peers[m.Box]; p != nil {
 		p.ready, p.heard, p.relay = m.Ready, now, now
-		v.setLost(p, m.Lost)
+		v.setLost(p, m.StoreLost)
 	}
 	named := make(map[uint32]*peer, len(v.peers))
 	for _, p := range v.peers {
@@ -150,13 +150,13 @@
 	for _, name := range b.Ready {
 		if p := named[name]; p != nil {
 			p.ready, p.heard = true, now
-			v.setLost(p, slices.Contains(b.Lost, name))
+			v.setLost(p, slices.Contains(b.StoreLost, name))
 		}
 	}
 	for _, name := range b.Unready {
 		if p := named[name]; p != nil {
 			p.ready, p.heard = false, now
-			v.setLost(p, slices.Contains(b.Lost, name))
+			v.setLost(p, slices.Contains(b.StoreLost, name))
 		}
 	}
 }
@@ -165,7 +165,7 @@
 // relays, that is the time at which something last was; called with the lock held.
 func (v *View) alive(p *peer, now time.Time) bool {
 	if !v.told.IsZero() && now.Sub(v.told) < mostFrozen {
-		now = earlier(now, v.told.Add(2*BundlePeriod))
+		now = earlier(now, v.told.Add(2*BundleInterval))
 	}
 	return now.Sub(p.heard) < silence
 }
--- a/internal/core/presence/relay_test.go
+++ b/internal/core/presence/relay_test.go
@@ -52,13 +52,13 @@
 	zones := []graniteknot.AvailabilityZone{"a", "b", "c", "d", "e"}
 	add := func(role presence.Role, i int) *process {
 		p := &process{reported: map[graniteknot.Address]time.Time{}, Member: presence.Member{
-			Box: graniteknot.BoxName(fmt.Sprintf("%s-%d", role, i)), Role: role, Zone: zones[i%len(zones)], Born: graniteknot.Incarnation(i + 1),
-			Peers: graniteknot.Address(fmt.Sprintf("10.0.%d.%d:7000", len(d.all)/200, len(d.all)%200+1)),
+			Box: graniteknot.BoxName(fmt.Sprintf("%s-%d", role, i)), Role: role, Zone: zones[i%len(zones)], Incarnation: graniteknot.Incarnation(i + 1),
+			PeerAddress: graniteknot.Address(fmt.Sprintf("10.0.%d.%d:7000", len(d.all)/200, len(d.all)%200+1)),
 		}}
 		if role == presence.RoleSidecar {
 			p.Target = graniteknot.Address(fmt.Sprintf("10.1.%d.%d:80", i/200, i%200+1))
 		}
-		d.all[p.Peers] = p
+		d.all[p.PeerAddress] = p
 		return p
 	}
 	for i := range gateways {
@@ -79,7 +79,7 @@
 
 // send carries a message to some processes.
 func (d *deployment) send(from *process, m *presence.Message, to []graniteknot.Address) {
-	m.Box, m.Born = from.Box, from.Born
+	m.Box, m.Incarnation = from.Box, from.Incarnation
 	text, err := cbor.Marshal(m)
 	if err != nil {
 		d.t.Fatal(err)
@@ -104,15 +104,15 @@
 
 func (d *deployment) take(p *process, m *presence.Message) {
 	if m.Bundle != nil {
-		p.view.Told(m, d.now)
+		p.view.ApplyBundle(m, d.now)
 		for i := range m.Bundle.Reports {
 			r := &m.Bundle.Reports[i]
-			p.reported[m.Bundle.Digest(r).Target] = d.now.Add(-time.Duration(r.Age) * time.Millisecond)
+			p.reported[m.Bundle.LoadReport(r).Target] = d.now.Add(-time.Duration(r.AgeMillis) * time.Millisecond)
 		}
 		return
 	}
-	p.view.Heard(m, d.now)
-	p.bundler.Take(m, d.now)
+	p.view.ApplyMessage(m, d.now)
+	p.bundler.Add(m, d.now)
 	if m.Load != nil {
 		p.reported[m.Load.Target] = d.now
 	}
@@ -127,8 +127,8 @@
 		}
 		for _, p := range d.sidecars {
 			if !p.dead {
-				load := &presence.Digest{Target: p.Target, Running: 4, Waiting: 1, Pass: 80_000, Pace: 1, Open: true, Skew: 1.3, Forecast: 7}
-				d.send(p, &presence.Message{Load: load}, p.view.Audience(p.Box, d.now))
+				load := &presence.LoadReport{Target: p.Target, Running: 4, Waiting: 1, PassMicros: 80_000, Pace: 1, GroupOpen: true, Skew: 1.3, ForecastSequence: 7}
+				d.send(p, &presence.Message{Load: load}, p.view.DirectGateways(p.Box, d.now))
 			}
 		}
 	}
@@ -138,23 +138,23 @@
 	if p.dead {
 		return
 	}
-	if bundles := p.bundler.Bundles(d.now); p.relaying {
+	if bundles := p.bundler.Flush(d.now); p.relaying {
 		for i := range bundles {
-			d.send(p, &presence.Message{Ready: true, Relay: true, Bundle: &bundles[i]}, p.view.InZone(p.Member))
+			d.send(p, &presence.Message{Ready: true, Relay: true, Bundle: &bundles[i]}, p.view.ZoneGateways(p.Member))
 		}
 	}
-	p.relaying = p.view.Relaying(p.Member, true, d.now)
-	to := p.view.Audience(p.Box, d.now)
-	if p.relaying && d.now.Sub(p.relayed) >= presence.RelayPeriod {
+	p.relaying = p.view.UpdateRelaying(p.Member, true, d.now)
+	to := p.view.DirectGateways(p.Box, d.now)
+	if p.relaying && d.now.Sub(p.relayed) >= presence.RelayAnnounceInterval {
 		p.relayed, to = d.now, nil
 		for a := range d.all {
-			if a != p.Peers {
+			if a != p.PeerAddress {
 				to = append(to, a)
 			}
 		}
 	}
 	self := p.Member
-	d.send(p, &presence.Message{Ready: true, Relay: p.relaying, Self: &self, Settings: 5}, to)
+	d.send(p, &presence.Message{Ready: true, Relay: p.relaying, Self: &self, ConfigVersion: 5}, to)
 }
 
 // check tells what every living gateway knows: how many others live, and how old the
@@ -165,7 +165,7 @@
 		if p.dead {
 			continue
 		}
-		if n := len(p.view.Alive(presence.RoleGateway, p.Box, d.now)); n != alive {
+		if n := len(p.view.ReadyMembers(presence.RoleGateway, p.Box, d.now)); n != alive {
 			d.t.Errorf("%s: %s knows of %d that live, of %d", what, p.Box, n, alive)
 		}
 		fresh := 0
@@ -242,7 +242,7 @@
 	for range 8 {
 		d.run(500 * time.Millisecond)
 		for _, p := range d.gateways {
-			if n := len(p.view.Alive(presence.RoleGateway, p.Box, d.now)); !p.dead && n < 36 {
+			if n := len(p.view.ReadyMembers(presence.RoleGateway, p.Box, d.now)); !p.dead && n < 36 {
 				t.Errorf("%s knows of %d that live", p.Box, n)
 			}
 		}
--- a/internal/core/presence/restore.go
+++ b/internal/core/presence/restore.go
@@ -56,7 +56,7 @@
 	}
 	r.Log.Info("registered again", slog.String("member", string(m.Box)), slog.String("position", at.String()))
 	if m.Box == r.Self.Box {
-		r.View.Registered(at)
+		r.View.SetOwnPosition(at)
 	}
 }
 
--- a/internal/core/presence/restore_test.go
+++ b/internal/core/presence/restore_test.go
@@ -27,8 +27,8 @@
 		view := &presence.View{}
 		r.views = append(r.views, view)
 		self := presence.Member{
-			Box: graniteknot.BoxName(fmt.Sprint("b", i)), Role: role, Zone: "z", Peers: graniteknot.Address(fmt.Sprintf("127.0.0.1:%d", 1000+i)),
-			Requests: graniteknot.Address(fmt.Sprintf("127.0.0.2:%d", 1000+i)), Target: graniteknot.Address(fmt.Sprintf("127.0.0.3:%d", 1000+i)), Born: graniteknot.Incarnation(i + 1),
+			Box: graniteknot.BoxName(fmt.Sprint("b", i)), Role: role, Zone: "z", PeerAddress: graniteknot.Address(fmt.Sprintf("127.0.0.1:%d", 1000+i)),
+			RequestAddress: graniteknot.Address(fmt.Sprintf("127.0.0.2:%d", 1000+i)), Target: graniteknot.Address(fmt.Sprintf("127.0.0.3:%d", 1000+i)), Incarnation: graniteknot.Incarnation(i + 1),
 		}
 		x := &presence.Registrar{Store: &r.store, Self: self, View: view, Health: &watch.Health{}}
 		r.run.Go(x.Register)
@@ -40,10 +40,10 @@
 // hellos keeps all that a view knows alive.
 func (r *registry) hellos(ctx context.Context, v *presence.View) {
 	for ctx.Err() == nil {
-		time.Sleep(presence.Period)
+		time.Sleep(presence.HeartbeatInterval)
 		for _, role := range []presence.Role{presence.RoleGateway, presence.RoleSidecar} {
 			for _, m := range v.Members(role, "") {
-				v.Heard(&presence.Message{Box: m.Box, Ready: true}, time.Now())
+				v.ApplyMessage(&presence.Message{Box: m.Box, Ready: true}, time.Now())
 			}
 		}
 	}
--- a/internal/core/presence/shelf.go
+++ b/internal/core/presence/shelf.go
@@ -11,9 +11,9 @@
 // mostShelved is how many packs are kept for those that are taking them.
 const mostShelved = 4
 
-// Shelf keeps the last packs of a kind, so that who has begun to take one gets the rest of it
+// PackCache keeps the last packs of a kind, so that who has begun to take one gets the rest of it
 // though the records have changed since. The zero value is empty.
-type Shelf struct {
+type PackCache struct {
 	mu sync.Mutex
 	// packs are kept, the newest last.
 	packs []shelved
@@ -21,12 +21,12 @@
 
 type shelved struct {
 	digest uint64
-	packed Packed
+	packed PackedRecords
 }
 
-// Part answers a question for a part. The first part is of what newest returns, each other one
+// ServePart answers a question for a part. The first part is of what newest returns, each other one
 // of the pack that the question names.
-func (s *Shelf) Part(question []byte, newest func() (Packed, error)) ([]byte, error) {
+func (s *PackCache) ServePart(question []byte, newest func() (PackedRecords, error)) ([]byte, error) {
 	offset, digest, err := wanted(question)
 	if err != nil {
 		return nil, err
@@ -46,7 +46,7 @@
 }
 
 // put keeps a pack and returns its digest.
-func (s *Shelf) put(p Packed) uint64 {
+func (s *PackCache) put(p PackedRecords) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if n := len(s.packs); n > 0 && len(p) > 0 && len(s.packs[n-1].packed) == len(p) && &s.packs[n-1].packed[0] == &p[0] {
@@ -62,7 +62,7 @@
 }
 
 // find returns the pack of a digest. Processes of earlier builds name none, and get the newest.
-func (s *Shelf) find(digest uint64) (shelved, bool) {
+func (s *PackCache) find(digest uint64) (shelved, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.packs) == 0 {
--- a/internal/core/presence/socket.go
+++ b/internal/core/presence/socket.go
@@ -27,7 +27,7 @@
 	group          group.Group
 	// asked are the own questions; answer answers others'.
 	asked  asked
-	answer atomic.Pointer[func(context.Context, Kind, []byte) ([]byte, error)]
+	answer atomic.Pointer[func(context.Context, QueryKind, []byte) ([]byte, error)]
 
 	// odd tells of datagrams that can't be read.
 	odd eventlog.Sparse
@@ -67,10 +67,10 @@
 			continue
 		}
 		switch {
-		case m.Question != nil:
-			s.respond(m.Question, from)
-		case m.Answer != nil:
-			s.asked.take(m.Answer)
+		case m.Query != nil:
+			s.respond(m.Query, from)
+		case m.Reply != nil:
+			s.asked.take(m.Reply)
 		default:
 			take(m)
 		}
@@ -104,7 +104,7 @@
 
 // encode completes a message.
 func (s *Socket) encode(m *Message) ([]byte, error) {
-	m.Box, m.Born, m.Sequence = s.box, s.born, s.sequence.Add(1)
+	m.Box, m.Incarnation, m.Sequence = s.box, s.born, s.sequence.Add(1)
 	return encode(m)
 }
 
--- a/internal/core/presence/view.go
+++ b/internal/core/presence/view.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// Period is the time between two datagrams of a gateway to another.
-	Period = 400 * time.Millisecond
+	// HeartbeatInterval is the time between two datagrams of a gateway to another.
+	HeartbeatInterval = 400 * time.Millisecond
 	// silence is how long a member that was heard may be silent and still be
 	// taken for alive: three datagrams and a bit.
 	silence = 1500 * time.Millisecond
@@ -41,16 +41,16 @@
 	registered *graniteknot.Position
 }
 
-// Registered notes the position of the own record.
-func (v *View) Registered(at graniteknot.Position) {
+// SetOwnPosition notes the position of the own record.
+func (v *View) SetOwnPosition(at graniteknot.Position) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.registered = &at
 }
 
-// NewestSettings returns the newest version of the configuration that any other
+// NewestConfigVersion returns the newest version of the configuration that any other
 // process said it has; 0 when none did.
-func (v *View) NewestSettings() uint64 {
+func (v *View) NewestConfigVersion() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.settings
@@ -69,9 +69,9 @@
 	return v.put(m, at, now)
 }
 
-// PutAt takes in a member's record at a position of the store, unless a later one is
+// PutRecord takes in a member's record at a position of the store, unless a later one is
 // known. It returns false when the life is known.
-func (v *View) PutAt(m Member, at graniteknot.Position, now time.Time) bool {
+func (v *View) PutRecord(m Member, at graniteknot.Position, now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if old := v.peers[m.Box]; old != nil && at <= old.at {
@@ -84,7 +84,7 @@
 	if v.peers == nil {
 		v.peers = map[graniteknot.BoxName]*peer{}
 	}
-	if old := v.peers[m.Box]; old != nil && old.Born == m.Born {
+	if old := v.peers[m.Box]; old != nil && old.Incarnation == m.Incarnation {
 		old.at = at
 		return false
 	}
@@ -108,7 +108,7 @@
 }
 
 func lifeOf(m *Member) uint64 {
-	return xxhash.Sum64String(string(m.Box) + "\x00" + strconv.FormatUint(uint64(m.Born), 10))
+	return xxhash.Sum64String(string(m.Box) + "\x00" + strconv.FormatUint(uint64(m.Incarnation), 10))
 }
 
 // records returns the records of all members, the own one included, in order of their
@@ -143,22 +143,22 @@
 	delete(v.peers, box)
 }
 
-// Heard notes a datagram of a member. One that tells who sent it makes the
+// ApplyMessage notes a datagram of a member. One that tells who sent it makes the
 // member known, also while the store is away. It returns whether the life is new.
-func (v *View) Heard(m *Message, now time.Time) (fresh bool) {
+func (v *View) ApplyMessage(m *Message, now time.Time) (fresh bool) {
 	if m.Self != nil {
 		fresh = v.Put(*m.Self, now)
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.settings = max(v.settings, m.Settings)
+	v.settings = max(v.settings, m.ConfigVersion)
 	p := v.peers[m.Box]
 	if p == nil {
 		return fresh
 	}
 	p.ready, p.heard, p.relay = m.Ready, now, time.Time{}
 	if m.Self != nil {
-		v.setLost(p, m.Lost)
+		v.setLost(p, m.StoreLost)
 	}
 	if m.Relay {
 		p.relay = now
@@ -187,20 +187,20 @@
 	return out
 }
 
-// Peers returns where a member takes datagrams; false when it is not known.
-func (v *View) Peers(box graniteknot.BoxName) (graniteknot.Address, bool) {
+// PeerAddress returns where a member takes datagrams; false when it is not known.
+func (v *View) PeerAddress(box graniteknot.BoxName) (graniteknot.Address, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	p := v.peers[box]
 	if p == nil {
 		return "", false
 	}
-	return p.Peers, true
+	return p.PeerAddress, true
 }
 
-// Alive returns the members of a role that were heard of late and are ready,
+// ReadyMembers returns the members of a role that were heard of late and are ready,
 // but for one box, ordered by name.
-func (v *View) Alive(role Role, but graniteknot.BoxName, now time.Time) []Member {
+func (v *View) ReadyMembers(role Role, but graniteknot.BoxName, now time.Time) []Member {
 	return v.members(role, but, func(p *peer) bool { return p.ready && v.alive(p, now) })
 }
 
@@ -212,23 +212,23 @@
 	}
 }
 
-// LostChanges counts how often members told that the store does not answer them, or does again.
-func (v *View) LostChanges() uint64 {
+// StoreLostChanges counts how often members told that the store does not answer them, or does again.
+func (v *View) StoreLostChanges() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.lostChanges
 }
 
-// Lost tells whether a member said that the store does not answer it.
-func (v *View) Lost(box graniteknot.BoxName) bool {
+// StoreLost tells whether a member said that the store does not answer it.
+func (v *View) StoreLost(box graniteknot.BoxName) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	p := v.peers[box]
 	return p != nil && p.lost
 }
 
-// Living returns the members of a role that were heard of late, ready or not, but for
+// AliveMembers returns the members of a role that were heard of late, ready or not, but for
 // one box, ordered by name.
-func (v *View) Living(role Role, but graniteknot.BoxName, now time.Time) []Member {
+func (v *View) AliveMembers(role Role, but graniteknot.BoxName, now time.Time) []Member {
 	return v.members(role, but, func(p *peer) bool { return v.alive(p, now) })
 }
--- a/internal/core/presence/view_test.go
+++ b/internal/core/presence/view_test.go
@@ -16,7 +16,7 @@
 
 func member(box graniteknot.BoxName, born graniteknot.Incarnation) presence.Member {
 	address := graniteknot.Address(fmt.Sprint("127.0.0.1:", int(box[0])))
-	return presence.Member{Box: box, Role: presence.RoleGateway, Peers: address, Requests: address, Born: born}
+	return presence.Member{Box: box, Role: presence.RoleGateway, PeerAddress: address, RequestAddress: address, Incarnation: born}
 }
 
 func names(list []presence.Member) string {
@@ -35,19 +35,19 @@
 	v.Put(member("a", 1), now)
 	v.Put(member("b", 1), now)
 	at := func(d time.Duration) string {
-		return names(v.Alive(presence.RoleGateway, "", now.Add(d)))
+		return names(v.ReadyMembers(presence.RoleGateway, "", now.Add(d)))
 	}
 	if got := at(900 * time.Millisecond); got != "ab" {
 		t.Errorf("newcomers: %q", got)
 	}
-	v.Heard(&presence.Message{Box: "a", Ready: true}, now.Add(time.Second))
+	v.ApplyMessage(&presence.Message{Box: "a", Ready: true}, now.Add(time.Second))
 	if got := at(2400 * time.Millisecond); got != "a" {
 		t.Errorf("after a datagram of a: %q", got)
 	}
 	if got := at(2600 * time.Millisecond); got != "" {
 		t.Errorf("after a second and a half of silence: %q", got)
 	}
-	v.Heard(&presence.Message{Box: "a"}, now.Add(3*time.Second))
+	v.ApplyMessage(&presence.Message{Box: "a"}, now.Add(3*time.Second))
 	if got := at(3 * time.Second); got != "" {
 		t.Errorf("not ready: %q", got)
 	}
@@ -62,8 +62,8 @@
 	var v presence.View
 	now := time.Now()
 	self := member("a", 9)
-	v.Heard(&presence.Message{Box: "a", Ready: true, Self: &self}, now)
-	if got := names(v.Alive(presence.RoleGateway, "", now)); got != "a" {
+	v.ApplyMessage(&presence.Message{Box: "a", Ready: true, Self: &self}, now)
+	if got := names(v.ReadyMembers(presence.RoleGateway, "", now)); got != "a" {
 		t.Errorf("alive: %q", got)
 	}
 	if !v.Put(member("a", 3), now) || v.Put(member("a", 3), now) {
@@ -125,7 +125,7 @@
 			t.Errorf("%d records after a start at the same address", got)
 		}
 		moved := member("a", 3)
-		moved.Peers = "127.0.0.1:9"
+		moved.PeerAddress = "127.0.0.1:9"
 		live(moved)
 		if got := records(); got != 2 {
 			t.Errorf("%d records after a start at another address", got)
--- a/internal/core/quarantine/entry.go
+++ b/internal/core/quarantine/entry.go
@@ -24,40 +24,40 @@
 // Entry is what is known of one request.
 type Entry struct {
 	Key Key `cbor:"1,keyasint"`
-	// Lives are the marks of the replicas that ended under the request, the least first,
+	// CrashedReplicas are the marks of the replicas that ended under the request, the least first,
 	// none twice.
-	Lives []catalog.Mark `cbor:"2,keyasint,omitempty"`
+	CrashedReplicas []catalog.Mark `cbor:"2,keyasint,omitempty"`
 	// Released requests are kept from nobody, whatever Lives: a replica has answered it,
 	// or an operator said so. Once set it stays.
 	Released bool `cbor:"3,keyasint,omitempty"`
 	// Suspect requests were at a replica that ended before it had answered anything of them,
 	// and whose end costs all others. Once set it stays.
 	Suspect bool `cbor:"5,keyasint,omitempty"`
-	// Age is how long ago it was first known, at least, in milliseconds.
-	Age int64 `cbor:"4,keyasint,omitempty"`
+	// AgeMillis is how long ago it was first known, at least, in milliseconds.
+	AgeMillis int64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Blocks tells whether the request is kept from replicas.
-func (e *Entry) Blocks() bool { return !e.Released && len(e.Lives) >= enough }
+// Quarantined tells whether the request is kept from replicas.
+func (e *Entry) Quarantined() bool { return !e.Released && len(e.CrashedReplicas) >= enough }
 
 // merge takes in what another entry of the same key says; false when nothing is new.
 func (e *Entry) merge(other *Entry) bool {
-	lives := slices.Concat(e.Lives, other.Lives)
+	lives := slices.Concat(e.CrashedReplicas, other.CrashedReplicas)
 	slices.Sort(lives)
 	lives = slices.Compact(lives)
 	lives = lives[:min(len(lives), mostLives)]
 	released, suspect := e.Released || other.Released, e.Suspect || other.Suspect
-	if released == e.Released && suspect == e.Suspect && slices.Equal(lives, e.Lives) {
+	if released == e.Released && suspect == e.Suspect && slices.Equal(lives, e.CrashedReplicas) {
 		return false
 	}
-	e.Lives, e.Released, e.Suspect = lives, released, suspect
+	e.CrashedReplicas, e.Released, e.Suspect = lives, released, suspect
 	return true
 }
 
 // sum is the entry's part of a table's digest.
 func (e *Entry) sum() uint64 {
 	b := append([]byte(nil), e.Key[:]...)
-	for _, life := range e.Lives {
+	for _, life := range e.CrashedReplicas {
 		b = binary.BigEndian.AppendUint32(b, uint32(life))
 	}
 	if e.Released {
@@ -81,12 +81,12 @@
 
 // keeps tells whether the request is kept from replicas at a time.
 func (i *item) keeps(now time.Time) bool {
-	return i.Blocks() || i.Suspect && !i.Released && now.Sub(i.since) < suspectFor
+	return i.Quarantined() || i.Suspect && !i.Released && now.Sub(i.since) < suspectFor
 }
 
 // over tells whether an entry has stood for long enough.
 func (i *item) over(now time.Time) bool {
-	if i.Blocks() {
+	if i.Quarantined() {
 		return now.Sub(i.since) > keepBlocking
 	}
 	return now.Sub(i.since) > keepOther
--- a/internal/core/quarantine/fuzz_test.go
+++ b/internal/core/quarantine/fuzz_test.go
@@ -23,7 +23,7 @@
 				t.Error(err)
 			}
 		}
-		if e, err := quarantine.EntryOf(graniteknot.KeyedRecord{Key: "k", Value: body}); err == nil {
+		if e, err := quarantine.DecodeRecord(graniteknot.KeyedRecord{Key: "k", Value: body}); err == nil {
 			table.Merge(&e, now)
 		}
 	})
--- a/internal/core/quarantine/record.go
+++ b/internal/core/quarantine/record.go
@@ -29,13 +29,13 @@
 	Lives []catalog.Mark `json:"lives"`
 }
 
-// RecordOf returns the record of a request that is kept from replicas, or was released.
-func RecordOf(e *Entry) (graniteknot.KeyedRecord, error) {
+// EncodeRecord returns the record of a request that is kept from replicas, or was released.
+func EncodeRecord(e *Entry) (graniteknot.KeyedRecord, error) {
 	out := graniteknot.KeyedRecord{Key: e.Key.String()}
 	if e.Released {
 		return out, nil
 	}
-	value, err := json.Marshal(record{Lives: e.Lives})
+	value, err := json.Marshal(record{Lives: e.CrashedReplicas})
 	if err != nil {
 		return out, &Error{Op: "write record", Kind: KindMalformed, Err: err}
 	}
@@ -43,8 +43,8 @@
 	return out, nil
 }
 
-// EntryOf reads a record.
-func EntryOf(r graniteknot.KeyedRecord) (Entry, error) {
+// DecodeRecord reads a record.
+func DecodeRecord(r graniteknot.KeyedRecord) (Entry, error) {
 	var e Entry
 	key, err := hex.DecodeString(r.Key)
 	if err != nil || len(key) != keySize {
@@ -59,9 +59,9 @@
 	if err := json.Unmarshal(r.Value, &v); err != nil {
 		return e, &Error{Op: "read record", Kind: KindMalformed, Err: err}
 	}
-	e.Lives = v.Lives
-	if !e.Blocks() || len(e.Lives) > mostLives {
-		return e, &Error{Op: "read record", Kind: KindMalformed, Err: fmt.Errorf("%d lives", len(e.Lives))}
+	e.CrashedReplicas = v.Lives
+	if !e.Quarantined() || len(e.CrashedReplicas) > mostLives {
+		return e, &Error{Op: "read record", Kind: KindMalformed, Err: fmt.Errorf("%d lives", len(e.CrashedReplicas))}
 	}
 	return e, nil
 }
@@ -76,7 +76,7 @@
 		return nil, &Error{Op: "read message", Kind: KindMalformed, Err: err}
 	}
 	for i := range out {
-		if out[i].Age < 0 || len(out[i].Lives) > mostLives {
+		if out[i].AgeMillis < 0 || len(out[i].CrashedReplicas) > mostLives {
 			return nil, &Error{Op: "read message", Kind: KindMalformed, Err: fmt.Errorf("entry %d", i)}
 		}
 	}
--- a/internal/core/quarantine/table.go
+++ b/internal/core/quarantine/table.go
@@ -32,9 +32,9 @@
 
 // Table knows the requests under which replicas ended. The zero value is empty.
 type Table struct {
-	// Changed is told of each entry that this process's own requests changed. Set before
+	// OnChange is told of each entry that this process's own requests changed. Set before
 	// use; nil for nobody.
-	Changed func(Entry)
+	OnChange func(Entry)
 
 	mu    sync.Mutex
 	items map[Key]*item
@@ -57,36 +57,36 @@
 // Empty tells whether nothing is known of any request.
 func (t *Table) Empty() bool { return t.count.Load() == 0 }
 
-// Keeps tells whether a request is kept from replicas now: for long, or as a suspect.
-func (t *Table) Keeps(k Key, now time.Time) bool {
+// Blocked tells whether a request is kept from replicas now: for long, or as a suspect.
+func (t *Table) Blocked(k Key, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	i := t.items[k]
 	return i != nil && i.keeps(now)
 }
 
-// Blocks tells whether a request is kept from replicas for long, under which enough ended.
-func (t *Table) Blocks(k Key) bool {
+// Quarantined tells whether a request is kept from replicas for long, under which enough ended.
+func (t *Table) Quarantined(k Key) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	i := t.items[k]
-	return i != nil && i.Blocks()
+	return i != nil && i.Quarantined()
 }
 
-// Ended notes that a replica ended while it worked on a request. It returns false where
+// RecordCrash notes that a replica ended while it worked on a request. It returns false where
 // so many end at once that the requests are not the cause.
-func (t *Table) Ended(k Key, life catalog.Mark, now time.Time) bool {
-	return t.end(Entry{Key: k, Lives: []catalog.Mark{life}}, now)
+func (t *Table) RecordCrash(k Key, life catalog.Mark, now time.Time) bool {
+	return t.end(Entry{Key: k, CrashedReplicas: []catalog.Mark{life}}, now)
 }
 
-// EndedUnanswered notes the same of a replica that had answered nothing of the request, and
+// RecordCrashBeforeResponse notes the same of a replica that had answered nothing of the request, and
 // whose end costs others much: the request is a suspect.
-func (t *Table) EndedUnanswered(k Key, life catalog.Mark, now time.Time) bool {
-	return t.end(Entry{Key: k, Lives: []catalog.Mark{life}, Suspect: true}, now)
+func (t *Table) RecordCrashBeforeResponse(k Key, life catalog.Mark, now time.Time) bool {
+	return t.end(Entry{Key: k, CrashedReplicas: []catalog.Mark{life}, Suspect: true}, now)
 }
 
 func (t *Table) end(e Entry, now time.Time) bool {
-	if !t.single(e.Lives[0], now) {
+	if !t.single(e.CrashedReplicas[0], now) {
 		return false
 	}
 	e.Released = t.seenAnswered(e.Key)
@@ -101,8 +101,8 @@
 	return t.answered.has(k)
 }
 
-// Answered notes that a replica answered a request: it does not end each that begins it.
-func (t *Table) Answered(k Key, now time.Time) {
+// RecordResponse notes that a replica answered a request: it does not end each that begins it.
+func (t *Table) RecordResponse(k Key, now time.Time) {
 	t.mu.Lock()
 	t.answered.add(k, now)
 	known := t.items[k] != nil
@@ -129,20 +129,20 @@
 
 // own takes in what this process found out, and tells it.
 func (t *Table) own(e Entry, now time.Time) {
-	if !t.Merge(&e, now) || t.Changed == nil {
+	if !t.Merge(&e, now) || t.OnChange == nil {
 		return
 	}
 	if whole, known := t.Entry(e.Key, now); known {
-		t.Changed(whole)
+		t.OnChange(whole)
 	}
 }
 
 // Merge takes in what is known elsewhere; false when nothing is new.
 func (t *Table) Merge(e *Entry, now time.Time) bool {
-	since := now.Add(-time.Duration(e.Age) * time.Millisecond)
+	since := now.Add(-time.Duration(e.AgeMillis) * time.Millisecond)
 	fresh := item{Entry: Entry{Key: e.Key}, since: since}
 	fresh.merge(e)
-	if fresh.over(now) || len(e.Lives) == 0 && !e.Released {
+	if fresh.over(now) || len(e.CrashedReplicas) == 0 && !e.Released {
 		return false
 	}
 	t.mu.Lock()
@@ -193,11 +193,11 @@
 func (t *Table) evict(fresh *item) bool {
 	var oldest *item
 	for _, i := range t.items {
-		if oldest == nil || oldest.Blocks() && !i.Blocks() || oldest.Blocks() == i.Blocks() && i.since.Before(oldest.since) {
+		if oldest == nil || oldest.Quarantined() && !i.Quarantined() || oldest.Quarantined() == i.Quarantined() && i.since.Before(oldest.since) {
 			oldest = i
 		}
 	}
-	if oldest.Blocks() && !fresh.Blocks() {
+	if oldest.Quarantined() && !fresh.Quarantined() {
 		return false
 	}
 	t.remove(oldest)
@@ -224,7 +224,7 @@
 		if !i.over(now) {
 			continue
 		}
-		if i.Blocks() {
+		if i.Quarantined() {
 			out = append(out, k)
 		}
 		t.remove(i)
@@ -251,13 +251,13 @@
 	return out
 }
 
-// Blocking counts the requests that are kept from replicas.
-func (t *Table) Blocking() int {
+// QuarantinedCount counts the requests that are kept from replicas.
+func (t *Table) QuarantinedCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
 	for _, i := range t.items {
-		if i.Blocks() {
+		if i.Quarantined() {
 			n++
 		}
 	}
@@ -277,6 +277,6 @@
 // told is the entry as it is told to others.
 func (i *item) told(now time.Time) Entry {
 	e := i.Entry
-	e.Age = now.Sub(i.since).Milliseconds()
+	e.AgeMillis = now.Sub(i.since).Milliseconds()
 	return e
 }
--- a/internal/core/quarantine/table_test.go
+++ b/internal/core/quarantine/table_test.go
@@ -19,16 +19,16 @@
 func TestSecondEndBlocks(t *testing.T) {
 	var table quarantine.Table
 	k := key("x")
-	if !table.Empty() || table.Blocks(k) {
+	if !table.Empty() || table.Quarantined(k) {
 		t.Error("an empty table knows something")
 	}
-	table.Ended(k, 1, start)
-	table.Ended(k, 1, start)
-	if table.Blocks(k) {
+	table.RecordCrash(k, 1, start)
+	table.RecordCrash(k, 1, start)
+	if table.Quarantined(k) {
 		t.Error("one replica's end, told twice, blocks")
 	}
-	table.Ended(k, 2, start.Add(time.Minute))
-	if !table.Blocks(k) || table.Blocks(key("y")) || table.Blocking() != 1 {
+	table.RecordCrash(k, 2, start.Add(time.Minute))
+	if !table.Quarantined(k) || table.Quarantined(key("y")) || table.QuarantinedCount() != 1 {
 		t.Error("two ends do not block, or block another request")
 	}
 }
@@ -38,15 +38,15 @@
 func TestAnswerReleases(t *testing.T) {
 	var table quarantine.Table
 	k := key("x")
-	table.Answered(k, start)
+	table.RecordResponse(k, start)
 	if !table.Empty() {
 		t.Error("an answer of which nothing was known is kept")
 	}
-	table.Ended(k, 1, start)
-	table.Answered(k, start)
-	table.Ended(k, 2, start)
-	table.Ended(k, 3, start)
-	if table.Blocks(k) {
+	table.RecordCrash(k, 1, start)
+	table.RecordResponse(k, start)
+	table.RecordCrash(k, 2, start)
+	table.RecordCrash(k, 3, start)
+	if table.Quarantined(k) {
 		t.Error("a request that was answered is kept from replicas")
 	}
 }
@@ -57,14 +57,14 @@
 	var table quarantine.Table
 	taken := 0
 	for life := range catalog.Mark(100) {
-		if table.Ended(key(string(rune('a'+life))), life+1, start) {
+		if table.RecordCrash(key(string(rune('a'+life))), life+1, start) {
 			taken++
 		}
 	}
 	if taken != 3 {
 		t.Errorf("%d ends at the same time were taken for requests' doing", taken)
 	}
-	if !table.Ended(key("later"), 200, start.Add(2*time.Second)) {
+	if !table.RecordCrash(key("later"), 200, start.Add(2*time.Second)) {
 		t.Error("an end two seconds later was not taken")
 	}
 }
@@ -72,9 +72,9 @@
 func drawEntries(t *rapid.T) []quarantine.Entry {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) quarantine.Entry {
 		return quarantine.Entry{
-			Key:      key(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key")),
-			Lives:    rapid.SliceOfN(rapid.Custom(func(t *rapid.T) catalog.Mark { return catalog.Mark(rapid.IntRange(1, 9).Draw(t, "life")) }), 1, 4).Draw(t, "lives"),
-			Released: rapid.IntRange(0, 9).Draw(t, "released") == 0,
+			Key:             key(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key")),
+			CrashedReplicas: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) catalog.Mark { return catalog.Mark(rapid.IntRange(1, 9).Draw(t, "life")) }), 1, 4).Draw(t, "lives"),
+			Released:        rapid.IntRange(0, 9).Draw(t, "released") == 0,
 		}
 	}), 0, 12).Draw(t, "entries")
 }
@@ -106,7 +106,7 @@
 				t.Fatal("the same said something new twice")
 			}
 		}
-		if one.Digest() != other.Digest() || one.Digest() != third.Digest() || one.Blocking() != third.Blocking() {
+		if one.Digest() != other.Digest() || one.Digest() != third.Digest() || one.QuarantinedCount() != third.QuarantinedCount() {
 			t.Fatalf("%+v, %+v, %+v", one.Entries(start), other.Entries(start), third.Entries(start))
 		}
 	})
@@ -123,14 +123,14 @@
 // TestTableIsBounded keeps what blocks and drops the oldest of the rest.
 func TestTableIsBounded(t *testing.T) {
 	var table quarantine.Table
-	blocking := quarantine.Entry{Key: key("blocking"), Lives: []catalog.Mark{1, 2}}
+	blocking := quarantine.Entry{Key: key("blocking"), CrashedReplicas: []catalog.Mark{1, 2}}
 	table.Merge(&blocking, start)
 	for i := range 5000 {
-		e := quarantine.Entry{Key: quarantine.KeyOf("/p", "a", []byte{byte(i), byte(i >> 8)}), Lives: []catalog.Mark{1}}
+		e := quarantine.Entry{Key: quarantine.KeyOf("/p", "a", []byte{byte(i), byte(i >> 8)}), CrashedReplicas: []catalog.Mark{1}}
 		table.Merge(&e, start.Add(time.Duration(i)*time.Millisecond))
 	}
-	if n := len(table.Entries(start)); n > 1024 || !table.Blocks(blocking.Key) {
-		t.Errorf("%d entries, blocks: %v", n, table.Blocks(blocking.Key))
+	if n := len(table.Entries(start)); n > 1024 || !table.Quarantined(blocking.Key) {
+		t.Errorf("%d entries, blocks: %v", n, table.Quarantined(blocking.Key))
 	}
 }
 
@@ -139,11 +139,11 @@
 func TestEntriesEnd(t *testing.T) {
 	var table quarantine.Table
 	single, blocked := key("single"), key("blocked")
-	table.Ended(single, 1, start)
-	table.Ended(blocked, 1, start)
-	table.Ended(blocked, 2, start)
+	table.RecordCrash(single, 1, start)
+	table.RecordCrash(blocked, 1, start)
+	table.RecordCrash(blocked, 2, start)
 	later := start.Add(time.Hour)
-	if ended := table.Expire(later); len(ended) != 0 || len(table.Entries(later)) != 1 || !table.Blocks(blocked) {
+	if ended := table.Expire(later); len(ended) != 0 || len(table.Entries(later)) != 1 || !table.Quarantined(blocked) {
 		t.Errorf("after an hour: %v, %+v", ended, table.Entries(later))
 	}
 	told := table.Entries(later)[0]
@@ -151,7 +151,7 @@
 	if ended := table.Expire(last); len(ended) != 1 || ended[0] != blocked || !table.Empty() {
 		t.Errorf("after a day: %v", ended)
 	}
-	told.Age += (24 * time.Hour).Milliseconds()
+	told.AgeMillis += (24 * time.Hour).Milliseconds()
 	if table.Merge(&told, last) || !table.Empty() || table.Digest() != 0 {
 		t.Error("an old entry came back")
 	}
@@ -161,20 +161,20 @@
 func TestWhoWaitsIsTold(t *testing.T) {
 	var table quarantine.Table
 	k := key("x")
-	table.Ended(k, 1, start)
-	waiting, done := table.While(context.Background(), k, start)
+	table.RecordCrash(k, 1, start)
+	waiting, done := table.CancelOnBlock(context.Background(), k, start)
 	defer done()
-	other, doneOther := table.While(context.Background(), key("y"), start)
+	other, doneOther := table.CancelOnBlock(context.Background(), key("y"), start)
 	defer doneOther()
 	if waiting.Err() != nil {
 		t.Error("one end ended the wait")
 	}
-	e := quarantine.Entry{Key: k, Lives: []catalog.Mark{7}}
+	e := quarantine.Entry{Key: k, CrashedReplicas: []catalog.Mark{7}}
 	table.Merge(&e, start)
 	if waiting.Err() == nil || other.Err() != nil {
 		t.Error("the wait goes on, or another one's ended")
 	}
-	late, doneLate := table.While(context.Background(), k, start)
+	late, doneLate := table.CancelOnBlock(context.Background(), k, start)
 	defer doneLate()
 	if late.Err() == nil {
 		t.Error("a request that is blocked waits")
@@ -183,20 +183,20 @@
 
 // TestRecords writes and reads records, and refuses those of other writers.
 func TestRecords(t *testing.T) {
-	e := quarantine.Entry{Key: key("x"), Lives: []catalog.Mark{3, 9}}
-	r, err := quarantine.RecordOf(&e)
+	e := quarantine.Entry{Key: key("x"), CrashedReplicas: []catalog.Mark{3, 9}}
+	r, err := quarantine.EncodeRecord(&e)
 	if err != nil {
 		t.Fatal(err)
 	}
-	back, err := quarantine.EntryOf(r)
-	if err != nil || back.Key != e.Key || !back.Blocks() {
+	back, err := quarantine.DecodeRecord(r)
+	if err != nil || back.Key != e.Key || !back.Quarantined() {
 		t.Errorf("%+v, %v", back, err)
 	}
 	e.Released = true
-	if r, err = quarantine.RecordOf(&e); err != nil || len(r.Value) != 0 {
+	if r, err = quarantine.EncodeRecord(&e); err != nil || len(r.Value) != 0 {
 		t.Errorf("a released request's record: %+v, %v", r, err)
 	}
-	if back, err = quarantine.EntryOf(r); err != nil || !back.Released {
+	if back, err = quarantine.DecodeRecord(r); err != nil || !back.Released {
 		t.Errorf("%+v, %v", back, err)
 	}
 	name := key("x").String()
@@ -211,7 +211,7 @@
 		{Key: name, Value: []byte(`{"lives":[-1,2]}`)},
 		{Key: name + "00", Value: []byte(`{"lives":[1,2]}`)},
 	} {
-		if got, err := quarantine.EntryOf(odd); err == nil {
+		if got, err := quarantine.DecodeRecord(odd); err == nil {
 			t.Errorf("%s %q was read as %+v", odd.Key, odd.Value, got)
 		}
 	}
@@ -228,26 +228,26 @@
 func TestSuspectIsKeptForAWhile(t *testing.T) {
 	var table, other quarantine.Table
 	k := key("x")
-	table.Changed = func(e quarantine.Entry) { other.Merge(&e, start) }
-	table.EndedUnanswered(k, 1, start)
-	table.Ended(key("begun"), 1, start)
+	table.OnChange = func(e quarantine.Entry) { other.Merge(&e, start) }
+	table.RecordCrashBeforeResponse(k, 1, start)
+	table.RecordCrash(key("begun"), 1, start)
 	for _, x := range []*quarantine.Table{&table, &other} {
-		if !x.Keeps(k, start) || x.Blocks(k) || x.Keeps(key("begun"), start) || x.Keeps(key("y"), start) {
+		if !x.Blocked(k, start) || x.Quarantined(k) || x.Blocked(key("begun"), start) || x.Blocked(key("y"), start) {
 			t.Error("right after the end")
 		}
-		if !x.Keeps(k, start.Add(59*time.Second)) || x.Keeps(k, start.Add(61*time.Second)) {
+		if !x.Blocked(k, start.Add(59*time.Second)) || x.Blocked(k, start.Add(61*time.Second)) {
 			t.Error("not kept for a minute")
 		}
 	}
 	if table.Digest() != other.Digest() {
 		t.Error("who was told knows something else")
 	}
-	table.Ended(k, 2, start.Add(2*time.Minute))
-	if !table.Keeps(k, start.Add(time.Hour)) || !table.Blocks(k) {
+	table.RecordCrash(k, 2, start.Add(2*time.Minute))
+	if !table.Blocked(k, start.Add(time.Hour)) || !table.Quarantined(k) {
 		t.Error("two ends do not block")
 	}
-	other.Answered(k, start)
-	if other.Keeps(k, start) {
+	other.RecordResponse(k, start)
+	if other.Blocked(k, start) {
 		t.Error("an answered request is kept")
 	}
 }
@@ -257,20 +257,20 @@
 func TestAnsweredOfLateIsReleased(t *testing.T) {
 	var table quarantine.Table
 	k := key("x")
-	table.Answered(k, start)
-	table.EndedUnanswered(k, 1, start.Add(time.Second))
-	table.Ended(k, 2, start.Add(2*time.Second))
-	if table.Keeps(k, start.Add(3*time.Second)) {
+	table.RecordResponse(k, start)
+	table.RecordCrashBeforeResponse(k, 1, start.Add(time.Second))
+	table.RecordCrash(k, 2, start.Add(2*time.Second))
+	if table.Blocked(k, start.Add(3*time.Second)) {
 		t.Error("a request that was answered before is kept")
 	}
 	late := start.Add(time.Hour)
 	y := key("y")
-	table.Answered(y, start)
+	table.RecordResponse(y, start)
 	for i := range 3 * 4096 {
-		table.Answered(key(string(rune('a'+i))), late)
+		table.RecordResponse(key(string(rune('a'+i))), late)
 	}
-	table.EndedUnanswered(y, 3, late)
-	if !table.Keeps(y, late) {
+	table.RecordCrashBeforeResponse(y, 3, late)
+	if !table.Blocked(y, late) {
 		t.Error("an answer before 8,192 others is still remembered")
 	}
 }
--- a/internal/core/quarantine/while.go
+++ b/internal/core/quarantine/while.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// While returns a context that also ends once a request is kept from replicas; it costs
+// CancelOnBlock returns a context that also ends once a request is kept from replicas; it costs
 // nothing while nothing is known of the request. Call the function when done.
-func (t *Table) While(ctx context.Context, k Key, now time.Time) (context.Context, func()) {
+func (t *Table) CancelOnBlock(ctx context.Context, k Key, now time.Time) (context.Context, func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	i := t.items[k]
--- a/internal/core/ranks/budget_test.go
+++ b/internal/core/ranks/budget_test.go
@@ -50,7 +50,7 @@
 }
 
 // keeperAt returns a keeper that reaches all ranks over the links.
-func (n *narrow) keeperAt(fence graniteknot.Position, own int) *ranks.Keeper {
+func (n *narrow) keeperAt(fence graniteknot.Position, own int) *ranks.Coordinator {
 	s := n.group.Shape
 	var members []*ranks.Member
 	for r, d := range n.doers {
@@ -58,8 +58,8 @@
 		members = append(members, ranks.NewMember(rank, &linked{Ranks: d, links: n.links, from: own, to: r}, sidecar(r), n.group.Rank(rank)))
 	}
 	const size, bandwidth = 150e6, 22.5e9
-	return ranks.NewKeeper(ranks.Parts{
-		Fence: fence, Own: graniteknot.Rank(own), Former: graniteknot.Rank(own), Members: members, Link: linkRate, Gap: 200 * time.Millisecond,
+	return ranks.NewCoordinator(ranks.Config{
+		Fence: fence, OwnRank: graniteknot.Rank(own), FormerRank: graniteknot.Rank(own), Members: members, LinkRate: linkRate, MaxEventGap: 200 * time.Millisecond,
 		Engine: &catalog.Engine{Experts: &catalog.Experts{
 			Sets: s.Layers, Experts: s.Experts, Places: s.Slots, Spare: 2, Size: size, Bandwidth: bandwidth, Fraction: 0.85,
 		}},
--- a/internal/core/ranks/datagram.go
+++ b/internal/core/ranks/datagram.go
@@ -14,16 +14,16 @@
 
 // The questions that sidecars ask each other by datagrams.
 const (
-	askLook presence.Kind = 1
-	askGive presence.Kind = 2
+	askLook presence.QueryKind = 1
+	askGive presence.QueryKind = 2
 	// The same of a part of a group.
-	askLookAll presence.Kind = 3
-	askGiveAll presence.Kind = 4
+	askLookAll presence.QueryKind = 3
+	askGiveAll presence.QueryKind = 4
 )
 
-// Asker asks another process by a datagram; presence.Socket is one.
-type Asker interface {
-	Ask(ctx context.Context, to graniteknot.Address, kind presence.Kind, body []byte) ([]byte, error)
+// DatagramClient asks another process by a datagram; presence.Socket is one.
+type DatagramClient interface {
+	Ask(ctx context.Context, to graniteknot.Address, kind presence.QueryKind, body []byte) ([]byte, error)
 }
 
 // datagrams makes the calls by datagrams that fit into one: on the small boxes
@@ -32,12 +32,12 @@
 // looks like a sidecar that does not answer; the keeper asks again.
 type datagrams struct {
 	wire.Ranks
-	asker Asker
+	asker DatagramClient
 	to    graniteknot.Address
 }
 
 // byDatagrams returns the calls of the sidecar at an address.
-func byDatagrams(asker Asker, to graniteknot.Address, http wire.Ranks) wire.Ranks {
+func byDatagrams(asker DatagramClient, to graniteknot.Address, http wire.Ranks) wire.Ranks {
 	if asker == nil {
 		return http
 	}
@@ -90,7 +90,7 @@
 	return reply, err
 }
 
-func (d *datagrams) ask(ctx context.Context, kind presence.Kind, question, reply proto.Message) error {
+func (d *datagrams) ask(ctx context.Context, kind presence.QueryKind, question, reply proto.Message) error {
 	body, err := proto.Marshal(question)
 	if err != nil {
 		return err
@@ -102,9 +102,9 @@
 	return proto.Unmarshal(answer, reply)
 }
 
-// Answer answers the questions of other sidecars; it is for presence.Socket's
+// ServeDatagram answers the questions of other sidecars; it is for presence.Socket's
 // Respond.
-func (d *Doer) Answer(ctx context.Context, kind presence.Kind, body []byte) ([]byte, error) {
+func (d *Executor) ServeDatagram(ctx context.Context, kind presence.QueryKind, body []byte) ([]byte, error) {
 	switch kind {
 	case askLook:
 		return respond(ctx, body, &wire.LookRequest{}, d.Look)
--- a/internal/core/ranks/doer.go
+++ b/internal/core/ranks/doer.go
@@ -23,9 +23,9 @@
 	tryTime = 45 * time.Millisecond
 )
 
-// Doer reads its rank and gives it orders for the keeper. Set the exported
+// Executor reads its rank and gives it orders for the keeper. Set the exported
 // fields. It implements wire.Ranks.
-type Doer struct {
+type Executor struct {
 	Rank held.Rank
 	// Clock is what the silence of keepers is decided by.
 	Clock graniteknot.AgeClock
@@ -34,10 +34,10 @@
 	Target graniteknot.Address
 	Log    *eventlog.Log
 	Meter  *meter.Meter
-	// Peer reaches the sidecar at an address; nil for over HTTP.
-	Peer func(graniteknot.Address) wire.Ranks
-	// Asker reaches other sidecars by datagrams; nil for over HTTP only.
-	Asker Asker
+	// PeerClient reaches the sidecar at an address; nil for over HTTP.
+	PeerClient func(graniteknot.Address) wire.Ranks
+	// Datagrams reaches other sidecars by datagrams; nil for over HTTP only.
+	Datagrams DatagramClient
 
 	peers   peers
 	maps    maps
@@ -55,39 +55,39 @@
 	foretold time.Time
 }
 
-// Keeper returns the own rank of the last keeper; false when it is unknown.
-func (d *Doer) Keeper() (graniteknot.Rank, bool) {
+// CoordinatorRank returns the own rank of the last keeper; false when it is unknown.
+func (d *Executor) CoordinatorRank() (graniteknot.Rank, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.keeper, d.told
 }
 
 // Forecast returns the newest forecast of a keeper, and when it came.
-func (d *Doer) Forecast() (Forecast, time.Time) {
+func (d *Executor) Forecast() (Forecast, time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.forecast, d.foretold
 }
 
 // note keeps the own rank of a keeper, and what it foretells.
-func (d *Doer) note(r graniteknot.Rank, f Forecast) {
+func (d *Executor) note(r graniteknot.Rank, f Forecast) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.keeper, d.told = r, true
-	if f.Number > d.forecast.Number {
+	if f.Sequence > d.forecast.Sequence {
 		d.forecast, d.foretold = f, d.Clock.Now()
 	}
 }
 
 // Fence returns the highest fence heard, and when.
-func (d *Doer) Fence() (graniteknot.Position, time.Time) {
+func (d *Executor) Fence() (graniteknot.Position, time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.fence, d.heard
 }
 
 // admit takes a keeper's fence, or returns the higher one that is known.
-func (d *Doer) admit(fence graniteknot.Position) (higher graniteknot.Position) {
+func (d *Executor) admit(fence graniteknot.Position) (higher graniteknot.Position) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if fence < d.fence {
@@ -101,13 +101,13 @@
 }
 
 // Look implements wire.Ranks.
-func (d *Doer) Look(ctx context.Context, r *wire.LookRequest) (*wire.LookReply, error) {
+func (d *Executor) Look(ctx context.Context, r *wire.LookRequest) (*wire.LookReply, error) {
 	if r.GetFence() != 0 {
 		if higher := d.admit(graniteknot.Position(r.GetFence())); higher != 0 {
 			return &wire.LookReply{Fenced: int64(higher)}, nil
 		}
 		if own := r.GetOwnRank(); own > 0 {
-			d.note(graniteknot.Rank(own-1), Forecast{Skew: float64(r.GetSkew()), Loading: r.GetLoading(), Number: r.GetForecast()})
+			d.note(graniteknot.Rank(own-1), Forecast{Skew: float64(r.GetSkew()), Loading: r.GetLoading(), Sequence: r.GetForecast()})
 		}
 	}
 	report, err := d.Rank.Report(ctx)
@@ -138,7 +138,7 @@
 }
 
 // Give implements wire.Ranks.
-func (d *Doer) Give(ctx context.Context, r *wire.GiveRequest) (*wire.GiveReply, error) {
+func (d *Executor) Give(ctx context.Context, r *wire.GiveRequest) (*wire.GiveReply, error) {
 	if higher := d.admit(graniteknot.Position(r.GetFence())); higher != 0 {
 		return &wire.GiveReply{Result: int32(held.ResultFenced), Fenced: int64(higher)}, nil
 	}
@@ -159,7 +159,7 @@
 
 // based returns the map that a request tells by how it differs from another one;
 // false when that one is unknown. The map that groups open with is known by its shape.
-func (d *Doer) based(e held.Epoch, r *wire.GiveRequest) (*planner.Placement, bool) {
+func (d *Executor) based(e held.Epoch, r *wire.GiveRequest) (*planner.Placement, bool) {
 	if r.GetBase() != 0 {
 		return d.maps.changed(e, held.Version(r.GetBase()), r.GetMoves())
 	}
@@ -184,7 +184,7 @@
 	return s.Experts <= s.Ranks*s.Slots
 }
 
-func (d *Doer) give(ctx context.Context, c *held.Command) held.Result {
+func (d *Executor) give(ctx context.Context, c *held.Command) held.Result {
 	ctx, cancel := context.WithTimeout(ctx, orderTime)
 	defer cancel()
 	began := time.Now()
@@ -206,7 +206,7 @@
 }
 
 // try gives an order until it is answered or the time is over.
-func (d *Doer) try(ctx context.Context, c *held.Command) (result held.Result, tries int, err error) {
+func (d *Executor) try(ctx context.Context, c *held.Command) (result held.Result, tries int, err error) {
 	for {
 		tries++
 		result, err = tryOnce(ctx, d.Rank, c, tryTime)
--- a/internal/core/ranks/find.go
+++ b/internal/core/ranks/find.go
@@ -20,32 +20,32 @@
 	reachTime = 200 * time.Millisecond
 )
 
-// Place is where a sidecar and its rank are.
-type Place struct {
+// Endpoint is where a sidecar and its rank are.
+type Endpoint struct {
 	Sidecar, Target graniteknot.Address
 	Zone            graniteknot.AvailabilityZone
 }
 
-// Found is what a search for a group's ranks has shown.
-type Found struct {
+// Discovery is what a search for a group's ranks has shown.
+type Discovery struct {
 	// Members are the ranks, in order; nil where none was found.
 	Members []*Member
-	// Whole tells that there is one for each rank.
-	Whole bool
-	// Heard is how many sidecars heard from a keeper within the time that was named,
+	// Complete tells that there is one for each rank.
+	Complete bool
+	// HeardCoordinator is how many sidecars heard from a keeper within the time that was named,
 	// Answered how many answered.
-	Heard, Answered int
+	HeardCoordinator, Answered int
 }
 
-// Find asks sidecars which rank is theirs, and ranks whose sidecars do not
+// Discover asks sidecars which rank is theirs, and ranks whose sidecars do not
 // answer which they are, and how many sidecars heard from a keeper lately.
 //
 // The former keeper's rank need not answer: where it alone is lacking, and one
 // place alone does not answer, it is taken to be there. Pass a negative rank for
 // none. An asker reaches sidecars by datagrams; nil for over HTTP only.
-func Find(ctx context.Context, name held.GroupName, size int, former graniteknot.Rank, lately time.Duration, places []Place, asker Asker, reach func(graniteknot.Address) held.Rank) Found {
+func Discover(ctx context.Context, name held.GroupName, size int, former graniteknot.Rank, lately time.Duration, places []Endpoint, asker DatagramClient, reach func(graniteknot.Address) held.Rank) Discovery {
 	if size <= 0 {
-		return Found{}
+		return Discovery{}
 	}
 	client := &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: mostCalls}}
 	found := make([]*Member, len(places))
@@ -61,7 +61,7 @@
 		})
 	}
 	all.Wait()
-	out := Found{Members: make([]*Member, size)}
+	out := Discovery{Members: make([]*Member, size)}
 	for _, a := range answers {
 		out.note(a, lately)
 	}
@@ -79,7 +79,7 @@
 		silent[0].rank = former
 		members[former] = silent[0]
 	}
-	out.Whole = !slices.Contains(members, nil)
+	out.Complete = !slices.Contains(members, nil)
 	return out
 }
 
@@ -88,19 +88,19 @@
 // their map.
 const heardShare = 0.5
 
-// Heeded tells whether a keeper is heard by enough of the group to be alive.
-func (f *Found) Heeded() bool {
-	return f.Answered > 0 && float64(f.Heard) >= heardShare*float64(f.Answered)
+// CoordinatorAlive tells whether a keeper is heard by enough of the group to be alive.
+func (f *Discovery) CoordinatorAlive() bool {
+	return f.Answered > 0 && float64(f.HeardCoordinator) >= heardShare*float64(f.Answered)
 }
 
 // note counts an answer.
-func (f *Found) note(a answer, lately time.Duration) {
+func (f *Discovery) note(a answer, lately time.Duration) {
 	if !a.sidecar || a.rank < 0 {
 		return
 	}
 	f.Answered++
 	if a.keeper && a.age < lately {
-		f.Heard++
+		f.HeardCoordinator++
 	}
 }
 
