--- a/internal/core/ranks/find_test.go
+++ b/internal/core/ranks/find_test.go
@@ -30,20 +30,20 @@
 // once nobody has heard from it for a while.
 func TestKeeperHeardByOthers(t *testing.T) {
 	const lately = 400 * time.Millisecond
-	var doers []*ranks.Doer
-	var places []ranks.Place
+	var doers []*ranks.Executor
+	var places []ranks.Endpoint
 	for r := range 5 {
-		d := &ranks.Doer{Rank: &known{rank: graniteknot.Rank(r)}}
+		d := &ranks.Executor{Rank: &known{rank: graniteknot.Rank(r)}}
 		server := httptest.NewServer(wire.NewRanksServer(d))
 		defer server.Close()
 		doers = append(doers, d)
-		places = append(places, ranks.Place{Sidecar: graniteknot.Address(strings.TrimPrefix(server.URL, "http://"))})
+		places = append(places, ranks.Endpoint{Sidecar: graniteknot.Address(strings.TrimPrefix(server.URL, "http://"))})
 	}
-	find := func() ranks.Found {
+	find := func() ranks.Discovery {
 		reach := func(graniteknot.Address) held.Rank { return &known{} }
-		return ranks.Find(context.Background(), "g", 5, -1, lately, places, nil, reach)
+		return ranks.Discover(context.Background(), "g", 5, -1, lately, places, nil, reach)
 	}
-	if found := find(); !found.Whole || found.Heeded() {
+	if found := find(); !found.Complete || found.CoordinatorAlive() {
 		t.Errorf("before any keeper: %+v", found)
 	}
 	for _, d := range doers[1:4] {
@@ -51,11 +51,11 @@
 			t.Fatal(err)
 		}
 	}
-	if found := find(); !found.Whole || !found.Heeded() || found.Heard != 3 || found.Answered != 5 {
+	if found := find(); !found.Complete || !found.CoordinatorAlive() || found.HeardCoordinator != 3 || found.Answered != 5 {
 		t.Errorf("three of five heard from the keeper: %+v", found)
 	}
 	time.Sleep(lately + 50*time.Millisecond)
-	if found := find(); !found.Whole || found.Heeded() {
+	if found := find(); !found.Complete || found.CoordinatorAlive() {
 		t.Errorf("nobody has heard from the keeper lately: %+v", found)
 	}
 }
--- a/internal/core/ranks/forecast.go
+++ b/internal/core/ranks/forecast.go
@@ -22,8 +22,8 @@
 	Skew float64
 	// Loading tells that ranks load experts, which makes passes longer.
 	Loading bool
-	// Number grows from one forecast of a group to the next; 0 is none.
-	Number uint64
+	// Sequence grows from one forecast of a group to the next; 0 is none.
+	Sequence uint64
 }
 
 // forecaster makes forecasts. The zero value knows nothing.
--- a/internal/core/ranks/foretold_test.go
+++ b/internal/core/ranks/foretold_test.go
@@ -38,7 +38,7 @@
 		var mu sync.Mutex
 		var last ranks.Forecast
 		k := b.keeper(1, 0)
-		k.Tell = func(f ranks.Forecast) {
+		k.OnForecast = func(f ranks.Forecast) {
 			mu.Lock()
 			defer mu.Unlock()
 			last = f
--- a/internal/core/ranks/frozen_test.go
+++ b/internal/core/ranks/frozen_test.go
@@ -13,7 +13,7 @@
 
 // frozenDoer is a sidecar that stops answering.
 type frozenDoer struct {
-	*ranks.Doer
+	*ranks.Executor
 
 	mu     sync.Mutex
 	frozen bool
@@ -37,7 +37,7 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	return f.Doer.Look(ctx, r)
+	return f.Executor.Look(ctx, r)
 }
 
 // Give implements wire.Ranks.
@@ -46,7 +46,7 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	return f.Doer.Give(ctx, r)
+	return f.Executor.Give(ctx, r)
 }
 
 // LookAll implements wire.Ranks.
@@ -55,7 +55,7 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	return f.Doer.LookAll(ctx, r)
+	return f.Executor.LookAll(ctx, r)
 }
 
 // GiveAll implements wire.Ranks.
@@ -64,11 +64,11 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	return f.Doer.GiveAll(ctx, r)
+	return f.Executor.GiveAll(ctx, r)
 }
 
 // keeperThrough returns a keeper that reaches one rank through another sidecar.
-func (b *bench) keeperThrough(f *frozenDoer, at int) *ranks.Keeper {
+func (b *bench) keeperThrough(f *frozenDoer, at int) *ranks.Coordinator {
 	s := b.group.Shape
 	b.frozen, b.frozenAt = f, at
 	var members []*ranks.Member
@@ -79,7 +79,7 @@
 		}
 		members = append(members, ranks.NewMember(graniteknot.Rank(r), doer, sidecar(r), b.group.Rank(graniteknot.Rank(r))))
 	}
-	return ranks.NewKeeper(ranks.Parts{
+	return ranks.NewCoordinator(ranks.Config{
 		Fence: 1, Members: members,
 		Engine:  &catalog.Engine{Experts: &catalog.Experts{Sets: s.Layers, Experts: s.Experts, Places: s.Slots, Spare: 2}},
 		Planner: &planner.Planner{Shape: s, Threshold: 0.02, Smoothing: 1},
--- a/internal/core/ranks/give.go
+++ b/internal/core/ranks/give.go
@@ -8,7 +8,7 @@
 )
 
 // give gives orders to their ranks and waits a little for their answers.
-func (k *Keeper) give(ctx context.Context, orders []held.Order, now time.Time) bool {
+func (k *Coordinator) give(ctx context.Context, orders []held.Order, now time.Time) bool {
 	if len(orders) == 0 {
 		return false
 	}
@@ -35,7 +35,7 @@
 
 // giveTogether gives orders through a few sidecars, each to the ranks of its part
 // that get the same.
-func (k *Keeper) giveTogether(orders []held.Order, now time.Time, done func()) {
+func (k *Coordinator) giveTogether(orders []held.Order, now time.Time, done func()) {
 	type batch struct {
 		part  int
 		order held.Order
@@ -53,7 +53,7 @@
 }
 
 // command is an order with what carries it.
-func (k *Keeper) command(o *held.Order) *held.Command {
+func (k *Coordinator) command(o *held.Order) *held.Command {
 	c := &held.Command{Order: *o, Fence: k.Fence}
 	if o.Kind == held.KindPrepare {
 		c.Placement = k.offered
@@ -63,7 +63,7 @@
 }
 
 // remember notes the steps that must not change until they are passed.
-func (k *Keeper) remember(o *held.Order) {
+func (k *Coordinator) remember(o *held.Order) {
 	switch o.Kind {
 	case held.KindHold:
 		k.wish.Hold = o.Step
@@ -74,7 +74,7 @@
 }
 
 // loading is how long a rank takes to load all it may.
-func (k *Keeper) loading() time.Duration {
+func (k *Coordinator) loading() time.Duration {
 	e := k.Engine.Experts
 	if e.Bandwidth <= 0 {
 		return prepareAgain
--- a/internal/core/ranks/keeper.go
+++ b/internal/core/ranks/keeper.go
@@ -72,37 +72,37 @@
 	roundBits = 32
 )
 
-// Parts are what a Keeper is made of.
-type Parts struct {
+// Config are what a Keeper is made of.
+type Config struct {
 	// Clock is what the age of what is known of ranks is decided by.
 	Clock graniteknot.AgeClock
 	// Fence is higher than any former keeper's.
 	Fence graniteknot.Position
-	// Own is the keeper's own rank, Former that of the keeper before it; the same
+	// OwnRank is the keeper's own rank, FormerRank that of the keeper before it; the same
 	// when there was none, or it is not known.
-	Own, Former graniteknot.Rank
+	OwnRank, FormerRank graniteknot.Rank
 	// Engine has experts.
 	Engine *catalog.Engine
-	// Gap is the longest useful pause between events; 0 is unknown.
-	Gap time.Duration
-	// Link is what the keeper's box can receive, in bytes a second; 0 is unknown.
-	Link float64
+	// MaxEventGap is the longest useful pause between events; 0 is unknown.
+	MaxEventGap time.Duration
+	// LinkRate is what the keeper's box can receive, in bytes a second; 0 is unknown.
+	LinkRate float64
 	// Planner has a threshold of its own or, if that is 0, gets one that follows
 	// how long passes take.
 	Planner *planner.Planner
 	// Members are all ranks, in order.
 	Members []*Member
-	// Tell is given what is known of the length of passes, once a round; nil for
+	// OnForecast is given what is known of the length of passes, once a round; nil for
 	// nobody.
-	Tell  func(Forecast)
-	Log   *eventlog.Log
-	Meter *meter.Meter
+	OnForecast func(Forecast)
+	Log        *eventlog.Log
+	Meter      *meter.Meter
 }
 
-// Keeper keeps one group's map while it holds the highest fence. It is used by
+// Coordinator keeps one group's map while it holds the highest fence. It is used by
 // one goroutine. Make it with NewKeeper.
-type Keeper struct {
-	Parts
+type Coordinator struct {
+	Config
 	// placement is the map in force at mapping.
 	placement *planner.Placement
 	mapping   held.Version
@@ -147,33 +147,33 @@
 	counted time.Time
 }
 
-// NewKeeper returns a keeper that does nothing until Run.
-func NewKeeper(p Parts) *Keeper {
-	k := &Keeper{
-		Parts: p, fixed: p.Planner.Threshold != 0, prepared: make([]time.Time, len(p.Members)),
+// NewCoordinator returns a keeper that does nothing until Run.
+func NewCoordinator(p Config) *Coordinator {
+	k := &Coordinator{
+		Config: p, fixed: p.Planner.Threshold != 0, prepared: make([]time.Time, len(p.Members)),
 		window: newWindow(p.Planner.Shape, loadOne(p.Engine.Experts)), news: make(chan struct{}, 1),
 	}
 	for _, m := range p.Members {
 		m.clock = p.Clock
 	}
-	k.parts = partsOf(p.Members, p.Own)
+	k.parts = partsOf(p.Members, p.OwnRank)
 	s := p.Planner.Shape
 	if s.Ranks*s.Layers*s.Experts > smallGroup {
-		k.tally = newTally(k.window, &k.Parts, k.news)
+		k.tally = newTally(k.window, &k.Config, k.news)
 	}
 	return k
 }
 
 // version returns the number of the next map. Since fences grow from keeper to
 // keeper, no two maps share a number.
-func (k *Keeper) version() held.Version {
+func (k *Coordinator) version() held.Version {
 	k.sequence++
 	return held.Version(k.Fence)*maxSequence + k.sequence
 }
 
 // Run keeps the map until ctx is done or another keeper is heard of, whose fence
 // it returns.
-func (k *Keeper) Run(ctx context.Context) graniteknot.Position {
+func (k *Coordinator) Run(ctx context.Context) graniteknot.Position {
 	defer k.stop()
 	for ctx.Err() == nil {
 		pause, fenced := k.round(ctx)
@@ -186,7 +186,7 @@
 }
 
 // rest waits for a time, or for new counts where the group has nothing to do.
-func (k *Keeper) rest(ctx context.Context, d time.Duration) {
+func (k *Coordinator) rest(ctx context.Context, d time.Duration) {
 	news := k.news
 	if k.phase != held.PhaseIdle {
 		news = nil
@@ -201,7 +201,7 @@
 }
 
 // stop ends the calls that are under way.
-func (k *Keeper) stop() {
+func (k *Coordinator) stop() {
 	for _, m := range k.Members {
 		m.calls.Stop()
 	}
@@ -212,7 +212,7 @@
 
 // round reads all ranks and gives the orders that follow. It returns when the
 // next round is due.
-func (k *Keeper) round(ctx context.Context) (time.Duration, graniteknot.Position) {
+func (k *Coordinator) round(ctx context.Context) (time.Duration, graniteknot.Position) {
 	now := k.Clock.Now()
 	count := k.tally == nil && now.Sub(k.counted) >= k.countPeriod() && k.pause(k.phase) > fastRound
 	if k.tally != nil && k.placement != nil && k.phase != held.PhaseClosed {
@@ -249,7 +249,7 @@
 		k.plan()
 	}
 	k.pace.see(states[0].Step, now)
-	k.wish.Own, k.wish.Home, k.wish.Lead = k.Own, k.home(), k.pace.lead()
+	k.wish.Own, k.wish.Home, k.wish.Lead = k.OwnRank, k.home(), k.pace.lead()
 	d := held.Decide(states, k.wish)
 	k.wish.Freed = max(k.wish.Freed, d.Freed)
 	k.enter(d.Phase)
@@ -263,23 +263,23 @@
 // arms tells whether a decision arms ranks that the one before did not. Their answers
 // are as good as looks, and while ranks are armed every look makes the step come nearer
 // at which the group stands.
-func (k *Keeper) arms(d *held.Decision) bool {
+func (k *Coordinator) arms(d *held.Decision) bool {
 	same := slices.Equal(d.Orders, k.given)
 	k.given = d.Orders
 	return d.Phase == held.PhaseArming && !same
 }
 
 // question is what ranks are asked and told in a round.
-func (k *Keeper) question(counts bool) *wire.LookRequest {
+func (k *Coordinator) question(counts bool) *wire.LookRequest {
 	f := k.foretold()
 	return &wire.LookRequest{
-		Fence: int64(k.Fence), OwnRank: int32(k.Own) + 1, Counts: counts, Lists: k.placement == nil,
-		Skew: float32(f.Skew), Loading: f.Loading, Forecast: f.Number,
+		Fence: int64(k.Fence), OwnRank: int32(k.OwnRank) + 1, Counts: counts, Lists: k.placement == nil,
+		Skew: float32(f.Skew), Loading: f.Loading, Forecast: f.Sequence,
 	}
 }
 
 // enter notes a phase and logs it.
-func (k *Keeper) enter(p held.Phase) {
+func (k *Coordinator) enter(p held.Phase) {
 	if p == k.phase {
 		return
 	}
--- a/internal/core/ranks/keeper_test.go
+++ b/internal/core/ranks/keeper_test.go
@@ -128,7 +128,7 @@
 			b := newBench(large, 7)
 			defer b.stop()
 			before := b.group.Show().Skew
-			frozen := &frozenDoer{Doer: b.doers[at]}
+			frozen := &frozenDoer{Executor: b.doers[at]}
 			k := b.keeperThrough(frozen, at)
 			b.run.Go(func(context.Context) {
 				time.Sleep(2 * time.Second)
@@ -153,7 +153,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(small, 6)
 		defer b.stop()
-		frozen := &frozenDoer{Doer: b.doers[2]}
+		frozen := &frozenDoer{Executor: b.doers[2]}
 		k := b.keeperThrough(frozen, 2)
 		b.run.Go(func(context.Context) {
 			time.Sleep(700 * time.Millisecond)
--- a/internal/core/ranks/links_test.go
+++ b/internal/core/ranks/links_test.go
@@ -155,7 +155,7 @@
 // over has the sidecars reach each other over links.
 func (b *bench) over(l *links) {
 	for from, d := range b.doers {
-		d.Peer = func(a graniteknot.Address) wire.Ranks {
+		d.PeerClient = func(a graniteknot.Address) wire.Ranks {
 			to, err := strconv.Atoi(string(a))
 			if err != nil {
 				return nil
--- a/internal/core/ranks/look.go
+++ b/internal/core/ranks/look.go
@@ -10,7 +10,7 @@
 )
 
 // looks returns what is known of all ranks; false when that is too little.
-func (k *Keeper) looks() (looks []seen, whole bool) {
+func (k *Coordinator) looks() (looks []seen, whole bool) {
 	looks = make([]seen, len(k.Members))
 	for i, m := range k.Members {
 		last, at := m.shown()
@@ -24,7 +24,7 @@
 
 // ask asks all ranks and waits a little: those of a large group through a few
 // sidecars, and the ones that are not reached so directly.
-func (k *Keeper) ask(ctx context.Context, r *wire.LookRequest, now time.Time) {
+func (k *Coordinator) ask(ctx context.Context, r *wire.LookRequest, now time.Time) {
 	direct := k.Members
 	if k.parts != nil {
 		direct = nil
@@ -45,7 +45,7 @@
 }
 
 // otherFence returns the highest fence of another keeper that any rank told.
-func (k *Keeper) otherFence() graniteknot.Position {
+func (k *Coordinator) otherFence() graniteknot.Position {
 	var highest graniteknot.Position
 	for _, m := range k.Members {
 		highest = max(highest, m.otherFence())
@@ -54,19 +54,19 @@
 }
 
 // home is the rank that holds: the one after the keeper's own.
-func (k *Keeper) home() graniteknot.Rank {
-	return (k.Own + 1) % graniteknot.Rank(len(k.Members))
+func (k *Coordinator) home() graniteknot.Rank {
+	return (k.OwnRank + 1) % graniteknot.Rank(len(k.Members))
 }
 
 // without goes on while some rank can't be read. If it is the former keeper's
 // alone, the step that it held may begin.
-func (k *Keeper) without(ctx context.Context, now time.Time) time.Duration {
+func (k *Coordinator) without(ctx context.Context, now time.Time) time.Duration {
 	states := make([]held.State, len(k.Members))
 	var orders []held.Order
 	for i, m := range k.Members {
 		last, at := m.shown()
 		states[i] = last.state
-		if graniteknot.Rank(i) == k.Former {
+		if graniteknot.Rank(i) == k.FormerRank {
 			continue
 		}
 		if at.IsZero() || k.Clock.Since(at) > lookAge || !last.state.Open || last.state.Epoch != k.epoch {
@@ -81,7 +81,7 @@
 			orders = append(orders, held.Order{Kind: held.KindGo, Rank: graniteknot.Rank(i), Step: held.Never, Epoch: last.state.Epoch})
 		}
 	}
-	if k.Former == k.Own {
+	if k.FormerRank == k.OwnRank {
 		k.enter(held.PhaseClosed)
 		return idleRound
 	}
@@ -89,7 +89,7 @@
 		k.give(ctx, orders, now)
 		return fastRound
 	}
-	d := held.DecideWithout(states, k.Former, k.wish)
+	d := held.DecideWithout(states, k.FormerRank, k.wish)
 	k.wish.Freed = max(k.wish.Freed, d.Freed)
 	k.enter(d.Phase)
 	k.give(ctx, d.Orders, now)
@@ -97,7 +97,7 @@
 }
 
 // fences returns an order to each rank that does not know the keeper's fence.
-func (k *Keeper) fences(states []held.State) []held.Order {
+func (k *Coordinator) fences(states []held.State) []held.Order {
 	var out []held.Order
 	for r, m := range k.Members {
 		if !m.knowsFence() {
--- a/internal/core/ranks/parts_test.go
+++ b/internal/core/ranks/parts_test.go
@@ -63,7 +63,7 @@
 				members = append(members, ranks.NewMember(graniteknot.Rank(r), &sidecarAsked{asked: keeper, name: name}, graniteknot.Address(name), nil))
 			}
 			shape := planner.Shape{Layers: 1, Experts: n, Ranks: n, Slots: 2}
-			k := ranks.NewKeeper(ranks.Parts{
+			k := ranks.NewCoordinator(ranks.Config{
 				Fence: 1, Members: members, Planner: &planner.Planner{Shape: shape},
 				Engine: &catalog.Engine{Experts: &catalog.Experts{Sets: 1, Experts: n, Places: 2, Spare: 1}},
 			})
@@ -90,7 +90,7 @@
 	inner := &asked{calls: map[string]int{}}
 	b := newBench(small, 1)
 	defer b.stop()
-	d := &ranks.Doer{Rank: b.group.Rank(0), Peer: func(a graniteknot.Address) wire.Ranks {
+	d := &ranks.Executor{Rank: b.group.Rank(0), PeerClient: func(a graniteknot.Address) wire.Ranks {
 		return &sidecarAsked{asked: inner, name: string(a)}
 	}}
 	var others []string
--- a/internal/core/ranks/pause.go
+++ b/internal/core/ranks/pause.go
@@ -7,21 +7,21 @@
 )
 
 // forRanks is by how much longer the keeper of a larger group pauses.
-func (k *Keeper) forRanks() time.Duration {
+func (k *Coordinator) forRanks() time.Duration {
 	if k.parts != nil {
 		return time.Duration(len(k.parts)) * rankTime
 	}
 	return time.Duration(len(k.Members)) * rankTime
 }
 
-func (k *Keeper) countPeriod() time.Duration {
+func (k *Coordinator) countPeriod() time.Duration {
 	if k.window.suspect {
 		return changedRound
 	}
 	return countRound
 }
 
-func (k *Keeper) pause(p held.Phase) time.Duration {
+func (k *Coordinator) pause(p held.Phase) time.Duration {
 	switch p {
 	case held.PhaseHolding, held.PhaseArming, held.PhaseReleasing:
 		return fastRound
@@ -42,7 +42,7 @@
 
 // switching tells whether a map is being told to the ranks, or is about to be in force.
 // Sums of counts would hold that up on narrow links.
-func (k *Keeper) switching(now time.Time) bool {
+func (k *Coordinator) switching(now time.Time) bool {
 	switch k.phase {
 	case held.PhaseHolding, held.PhaseArming, held.PhaseReleasing:
 		return true
--- a/internal/core/ranks/plan.go
+++ b/internal/core/ranks/plan.go
@@ -12,7 +12,7 @@
 
 // learn takes in which map is in force; false when that can't be told yet, and
 // nothing can be planned.
-func (k *Keeper) learn(looks []seen, states []held.State) bool {
+func (k *Coordinator) learn(looks []seen, states []held.State) bool {
 	newest := states[0].Mapping
 	for _, s := range states {
 		if s.Epoch != states[0].Epoch || s.Mapping != newest {
@@ -47,7 +47,7 @@
 }
 
 // forget drops what was counted and foretold.
-func (k *Keeper) forget() {
+func (k *Coordinator) forget() {
 	k.forecaster = forecaster{}
 	k.window.forget()
 	if k.tally != nil {
@@ -66,7 +66,7 @@
 }
 
 // read puts the map in force together from what the ranks hold.
-func (k *Keeper) read(looks []seen) *planner.Placement {
+func (k *Coordinator) read(looks []seen) *planner.Placement {
 	p := planner.NewDealt(k.Planner.Shape)
 	for r := range looks {
 		for l, experts := range looks[r].lists {
@@ -77,7 +77,7 @@
 }
 
 // observe takes in how often experts were chosen.
-func (k *Keeper) observe(looks []seen, now time.Time) {
+func (k *Coordinator) observe(looks []seen, now time.Time) {
 	k.counted = now
 	counts := make([][]uint64, len(looks))
 	for r := range looks {
@@ -87,7 +87,7 @@
 }
 
 // loads returns how often experts were chosen of late.
-func (k *Keeper) loads() (planner.Loads, bool) {
+func (k *Coordinator) loads() (planner.Loads, bool) {
 	if k.tally != nil {
 		return k.tally.loads()
 	}
@@ -95,27 +95,27 @@
 }
 
 // tell tells what is known of the length of passes.
-func (k *Keeper) tell() {
+func (k *Coordinator) tell() {
 	if k.tally != nil {
 		k.tally.forecast(&k.forecaster, k.placement, k.paces, k.mapping)
 	} else {
 		k.forecaster.see(&k.window, k.placement, k.paces, k.mapping)
 	}
-	if k.Tell != nil {
-		k.Tell(k.foretold())
+	if k.OnForecast != nil {
+		k.OnForecast(k.foretold())
 	}
 }
 
 // foretold is the present forecast.
-func (k *Keeper) foretold() Forecast {
+func (k *Coordinator) foretold() Forecast {
 	f := k.forecaster.forecast(k.phase)
-	f.Number = uint64(k.Fence)<<roundBits | k.rounds
+	f.Sequence = uint64(k.Fence)<<roundBits | k.rounds
 	return f
 }
 
 // changed tells that the newest counts differ from those before, so that the next
 // ones are waited for, and how often what is chosen has changed.
-func (k *Keeper) changed() (suspect bool, changes int) {
+func (k *Coordinator) changed() (suspect bool, changes int) {
 	if k.tally != nil {
 		return k.tally.changed()
 	}
@@ -126,7 +126,7 @@
 // one, since what it was planned for has changed. No hold was asked for yet, so
 // nothing can be armed for it. One that took another's place stays, or ranks would
 // load for ever.
-func (k *Keeper) mayReplace() bool {
+func (k *Coordinator) mayReplace() bool {
 	return k.misled && !k.replaced && k.phase == held.PhasePreparing
 }
 
@@ -141,7 +141,7 @@
 // room is what one switch may load: as many experts a rank as take loadTime, one
 // at the least. Where passes take longer than that, loading as long as one pass
 // costs no more.
-func (k *Keeper) room() planner.Room {
+func (k *Coordinator) room() planner.Room {
 	e := k.Engine.Experts
 	perRank := 1
 	if e.Bandwidth > 0 && e.Size > 0 {
@@ -152,7 +152,7 @@
 }
 
 // plan chooses the next map, if one is worth it and none is under way.
-func (k *Keeper) plan() {
+func (k *Coordinator) plan() {
 	suspect, changes := k.changed()
 	k.misled = k.misled || changes != k.changes
 	k.changes = changes
@@ -166,7 +166,7 @@
 	k.Planner.Observe(loads)
 	if !k.fixed {
 		k.Planner.SwitchGain = switchGain * float64(k.Engine.Experts.Sets)
-		k.Planner.Threshold = threshold(k.pace.pass, k.Gap) * relativeCost(k.Engine.Experts, len(k.Members))
+		k.Planner.Threshold = threshold(k.pace.pass, k.MaxEventGap) * relativeCost(k.Engine.Experts, len(k.Members))
 	}
 	k.Planner.Paces = k.paces
 	next := k.Planner.PlanNext(k.placement, k.room())
--- a/internal/core/ranks/relay.go
+++ b/internal/core/ranks/relay.go
@@ -19,7 +19,7 @@
 )
 
 // LookAll implements wire.Ranks.
-func (d *Doer) LookAll(ctx context.Context, r *wire.LookAllRequest) (*wire.LookAllReply, error) {
+func (d *Executor) LookAll(ctx context.Context, r *wire.LookAllRequest) (*wire.LookAllReply, error) {
 	var all alikes
 	var asked group.Group
 	place := int32(1)
@@ -38,7 +38,7 @@
 
 // lookBranch looks at the ranks of a branch, which are at the places from the first
 // on.
-func (d *Doer) lookBranch(ctx context.Context, look *wire.LookRequest, branch []string, first int32, all *alikes) {
+func (d *Executor) lookBranch(ctx context.Context, look *wire.LookRequest, branch []string, first int32, all *alikes) {
 	peer := d.peer(branch[0])
 	if len(branch) == 1 {
 		short, cancel := context.WithTimeout(ctx, relayLook)
@@ -64,7 +64,7 @@
 }
 
 // GiveAll implements wire.Ranks.
-func (d *Doer) GiveAll(ctx context.Context, r *wire.GiveAllRequest) (*wire.GiveAllReply, error) {
+func (d *Executor) GiveAll(ctx context.Context, r *wire.GiveAllRequest) (*wire.GiveAllReply, error) {
 	out := &wire.GiveAllReply{Replies: make([]*wire.GiveReply, len(r.GetSidecars())+1)}
 	var asked group.Group
 	place := 1
@@ -79,7 +79,7 @@
 }
 
 // giveBranch gives an order to the ranks of a branch.
-func (d *Doer) giveBranch(ctx context.Context, give *wire.GiveRequest, branch []string, replies []*wire.GiveReply) {
+func (d *Executor) giveBranch(ctx context.Context, give *wire.GiveRequest, branch []string, replies []*wire.GiveReply) {
 	for i := range replies {
 		replies[i] = lost()
 	}
--- a/internal/core/ranks/rig_test.go
+++ b/internal/core/ranks/rig_test.go
@@ -26,7 +26,7 @@
 // bench is a group with its doers.
 type bench struct {
 	group *obeying.Group
-	doers []*ranks.Doer
+	doers []*ranks.Executor
 	run   group.Group
 	// frozen stands for the sidecar of the rank frozenAt; nil for none.
 	frozen   *frozenDoer
@@ -38,7 +38,7 @@
 	b.group.Load = loadTime
 	b.group.Like(uneven(s, seed))
 	for r := range s.Ranks {
-		b.doers = append(b.doers, &ranks.Doer{Rank: b.group.Rank(graniteknot.Rank(r)), Peer: b.sidecar})
+		b.doers = append(b.doers, &ranks.Executor{Rank: b.group.Rank(graniteknot.Rank(r)), PeerClient: b.sidecar})
 	}
 	b.run.Go(func(ctx context.Context) { b.group.Run(ctx, passTime) })
 	return b
@@ -77,19 +77,19 @@
 }
 
 // keeper returns a keeper at a rank; its ranks are also reached from afar.
-func (b *bench) keeper(fence graniteknot.Position, own graniteknot.Rank) *ranks.Keeper {
+func (b *bench) keeper(fence graniteknot.Position, own graniteknot.Rank) *ranks.Coordinator {
 	return b.keeperAfter(fence, own, own)
 }
 
 // keeperAfter returns a keeper that knows the rank of the one before it.
-func (b *bench) keeperAfter(fence graniteknot.Position, own, former graniteknot.Rank) *ranks.Keeper {
+func (b *bench) keeperAfter(fence graniteknot.Position, own, former graniteknot.Rank) *ranks.Coordinator {
 	s := b.group.Shape
 	var members []*ranks.Member
 	for r, d := range b.doers {
 		members = append(members, ranks.NewMember(graniteknot.Rank(r), d, sidecar(r), b.group.Rank(graniteknot.Rank(r))))
 	}
-	return ranks.NewKeeper(ranks.Parts{
-		Fence: fence, Own: own, Former: former, Members: members,
+	return ranks.NewCoordinator(ranks.Config{
+		Fence: fence, OwnRank: own, FormerRank: former, Members: members,
 		Engine:  &catalog.Engine{Experts: b.experts()},
 		Planner: &planner.Planner{Shape: s, Threshold: 0.02, Smoothing: 1},
 	})
@@ -107,7 +107,7 @@
 }
 
 // keepFor runs a keeper for a while.
-func (b *bench) keepFor(k *ranks.Keeper, d time.Duration) graniteknot.Position {
+func (b *bench) keepFor(k *ranks.Coordinator, d time.Duration) graniteknot.Position {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	defer cancel()
 	return k.Run(ctx)
--- a/internal/core/ranks/slow.go
+++ b/internal/core/ranks/slow.go
@@ -11,7 +11,7 @@
 
 // slow takes in how slow the ranks tell they are. In a lock-step group all wait
 // for a slow one, which is not overloaded: it needs less than the others.
-func (k *Keeper) slow(looks []seen) {
+func (k *Coordinator) slow(looks []seen) {
 	paces := pacesOf(looks)
 	if slices.Equal(paces, k.paces) {
 		return
--- a/internal/core/ranks/sum.go
+++ b/internal/core/ranks/sum.go
@@ -41,16 +41,16 @@
 }
 
 // peer returns the calls of another sidecar.
-func (d *Doer) peer(address string) wire.Ranks {
-	if d.Peer != nil {
-		return d.Peer(graniteknot.Address(address))
+func (d *Executor) peer(address string) wire.Ranks {
+	if d.PeerClient != nil {
+		return d.PeerClient(graniteknot.Address(address))
 	}
-	return byDatagrams(d.Asker, graniteknot.Address(address), d.peers.client(address))
+	return byDatagrams(d.Datagrams, graniteknot.Address(address), d.peers.client(address))
 }
 
 // Sum implements wire.Ranks. What does not come in time is left out: the sum is then
 // of fewer ranks, of which the keeper is told the number.
-func (d *Doer) Sum(ctx context.Context, r *wire.SumRequest) (*wire.SumReply, error) {
+func (d *Executor) Sum(ctx context.Context, r *wire.SumRequest) (*wire.SumReply, error) {
 	wait := time.Duration(float64(r.GetWaitMs())*waitShare) * time.Millisecond
 	var all summer
 	var asked group.Group
--- a/internal/core/ranks/tally.go
+++ b/internal/core/ranks/tally.go
@@ -54,8 +54,8 @@
 }
 
 // newTally returns a tally of the members' counts.
-func newTally(w window, p *Parts, news chan<- struct{}) *tally {
-	t := &tally{clock: p.Clock, window: w, fence: p.Fence, link: p.Link, parts: divided(p.Members, p.Own), news: news}
+func newTally(w window, p *Config, news chan<- struct{}) *tally {
+	t := &tally{clock: p.Clock, window: w, fence: p.Fence, link: p.LinkRate, parts: divided(p.Members, p.OwnRank), news: news}
 	if !addressed(p.Members) {
 		t.parts = nil
 		for _, m := range p.Members {
--- a/internal/core/ranks/tries_test.go
+++ b/internal/core/ranks/tries_test.go
@@ -34,7 +34,7 @@
 		b := newBench(small, 1)
 		defer b.stop()
 		rank := &refusing{Rank: b.group.Rank(0)}
-		doer := &ranks.Doer{Rank: rank}
+		doer := &ranks.Executor{Rank: rank}
 		reply, err := doer.Give(context.Background(), &wire.GiveRequest{Fence: 1, Kind: int32(held.KindGo), Step: 9, Epoch: 1})
 		if err != nil || held.Result(reply.GetResult()) != held.ResultLost {
 			t.Errorf("%v, %v", reply, err)
--- a/internal/core/readers/standing.go
+++ b/internal/core/readers/standing.go
@@ -8,14 +8,14 @@
 	graniteknot "graniteknot.org/go"
 )
 
-// Standing is what a gateway answers on a topic of the store.
-type Standing struct {
+// TopicStatus is what a gateway answers on a topic of the store.
+type TopicStatus struct {
 	// State is the topic's.
 	State uint64
 	// Age is how long ago the read began that showed the state.
 	Age time.Duration
-	// Sound tells that the gateway has had no trouble with the store of late.
-	Sound bool
+	// StoreHealthy tells that the gateway has had no trouble with the store of late.
+	StoreHealthy bool
 	// Reader is the gateway that read it; empty from gateways of earlier builds.
 	Reader graniteknot.BoxName
 }
@@ -33,35 +33,35 @@
 
 // Encode writes a standing: its state and its age in microseconds as varints, a byte of
 // marks, and the reader's name. The age is rounded up.
-func (s *Standing) Encode() []byte {
+func (s *TopicStatus) Encode() []byte {
 	out := binary.AppendUvarint(nil, s.State)
 	out = binary.AppendUvarint(out, uint64(s.Age/time.Microsecond)+1)
 	marks := byte(0)
-	if s.Sound {
+	if s.StoreHealthy {
 		marks |= soundMark
 	}
 	return append(append(out, marks), s.Reader...)
 }
 
-// DecodeStanding is the inverse of Encode. Gateways of earlier builds end their answers
+// DecodeTopicStatus is the inverse of Encode. Gateways of earlier builds end their answers
 // before the marks or the reader.
-func DecodeStanding(body []byte) (Standing, error) {
+func DecodeTopicStatus(body []byte) (TopicStatus, error) {
 	state, n := binary.Uvarint(body)
 	if n <= 0 {
-		return Standing{}, ErrMalformed
+		return TopicStatus{}, ErrMalformed
 	}
 	micros, m := binary.Uvarint(body[n:])
 	if m <= 0 || micros > uint64(oldest/time.Microsecond) {
-		return Standing{}, ErrMalformed
+		return TopicStatus{}, ErrMalformed
 	}
-	s := Standing{State: state, Age: time.Duration(micros) * time.Microsecond}
+	s := TopicStatus{State: state, Age: time.Duration(micros) * time.Microsecond}
 	rest := body[n+m:]
 	if len(rest) == 0 {
 		return s, nil
 	}
 	if len(rest) > 1+longestName {
-		return Standing{}, ErrMalformed
+		return TopicStatus{}, ErrMalformed
 	}
-	s.Sound, s.Reader = rest[0]&soundMark != 0, graniteknot.BoxName(rest[1:])
+	s.StoreHealthy, s.Reader = rest[0]&soundMark != 0, graniteknot.BoxName(rest[1:])
 	return s, nil
 }
--- a/internal/core/relay/quarantined.go
+++ b/internal/core/relay/quarantined.go
@@ -21,7 +21,7 @@
 // go from target to target, eight of them a try.
 func (n *run) quarantined() bool {
 	q := n.relay.Quarantine
-	return q != nil && !q.Empty() && q.Blocks(n.identity())
+	return q != nil && !q.Empty() && q.Quarantined(n.identity())
 }
 
 // noteEnd takes in what an attempt's end says of the request.
@@ -33,10 +33,10 @@
 	now := n.relay.now()
 	switch {
 	case e.end == endWhole:
-		q.Answered(n.identity(), now)
+		q.RecordResponse(n.identity(), now)
 	case e.end == endBroken && strings.HasPrefix(e.reason, graniteknot.ReasonTargetEnded):
 		// No target tells its start here: its address and when it ended name the life.
 		life := catalog.Life{ID: catalog.ReplicaID(a), Born: graniteknot.Born(now.Truncate(sameEnd).UnixMilli())}
-		q.Ended(n.identity(), life.Mark(), now)
+		q.RecordCrash(n.identity(), life.Mark(), now)
 	}
 }
--- a/internal/core/relay/relay.go
+++ b/internal/core/relay/relay.go
@@ -69,7 +69,7 @@
 func (r *Relay) Do(ctx context.Context, request *Request, sink Sink) Result {
 	ctx, cancel := context.WithDeadline(ctx, request.Deadline)
 	defer cancel()
-	r.Budget.First()
+	r.Budget.RecordFirstAttempt()
 	run := &run{relay: r, request: request, sink: sink}
 	var result Result
 	if request.Repeatable {
--- a/internal/core/relay/repeatable.go
+++ b/internal/core/relay/repeatable.go
@@ -83,7 +83,7 @@
 // mayRetry asks the budget. Being refused by an agent that is well counts like
 // any other retry: at overload it would only add load.
 func (n *run) mayRetry(e ended) bool {
-	return e.end == endUnreached || n.relay.Budget.Spend()
+	return e.end == endUnreached || n.relay.Budget.Withdraw()
 }
 
 // giveUp ends a request without an answer. What may still be running or on
--- a/internal/core/retry/budget.go
+++ b/internal/core/retry/budget.go
@@ -32,8 +32,8 @@
 	spent, denied uint64
 }
 
-// First notes a first attempt.
-func (b *Budget) First() {
+// RecordFirstAttempt notes a first attempt.
+func (b *Budget) RecordFirstAttempt() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.start()
@@ -42,16 +42,16 @@
 	}
 }
 
-// Left tells whether a retry would be allowed now.
-func (b *Budget) Left() bool {
+// Available tells whether a retry would be allowed now.
+func (b *Budget) Available() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.start()
 	return b.Unlimited || b.held >= 1
 }
 
-// Spend asks for one retry.
-func (b *Budget) Spend() bool {
+// Withdraw asks for one retry.
+func (b *Budget) Withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.start()
--- a/internal/core/sidecar/digest_test.go
+++ b/internal/core/sidecar/digest_test.go
@@ -72,7 +72,7 @@
 	greet func()
 
 	mu   sync.Mutex
-	list []presence.Digest
+	list []presence.LoadReport
 }
 
 func (d *digests) take(m *presence.Message) {
@@ -84,20 +84,20 @@
 }
 
 // last returns the last digest.
-func (d *digests) last() presence.Digest {
+func (d *digests) last() presence.LoadReport {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.list) == 0 {
-		return presence.Digest{}
+		return presence.LoadReport{}
 	}
 	return d.list[len(d.list)-1]
 }
 
-func (d *digests) first() (presence.Digest, bool) {
+func (d *digests) first() (presence.LoadReport, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.list) == 0 {
-		return presence.Digest{}, false
+		return presence.LoadReport{}, false
 	}
 	return d.list[0], true
 }
@@ -125,7 +125,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { s.Stop(context.Background()) })
-	self := presence.Member{Box: "gateway", Role: presence.RoleGateway, Zone: "z", Peers: graniteknot.Address(ip(1) + ":18004"), Born: 1}
+	self := presence.Member{Box: "gateway", Role: presence.RoleGateway, Zone: "z", PeerAddress: graniteknot.Address(ip(1) + ":18004"), Incarnation: 1}
 	eventually(t, "the gateway is told", func() bool {
 		gateway.Send(presence.Message{Ready: true, Self: &self}, []graniteknot.Address{peers})
 		_, ok := out.first()
@@ -141,7 +141,7 @@
 // from the first look on: a gateway that is told nothing takes the target for one
 // without a sidecar, and sends requests there that are refused.
 func TestClosedTargetsAreTold(t *testing.T) {
-	if first, _ := told(t, closedRank{}).first(); first.Open || first.Life != 0 {
+	if first, _ := told(t, closedRank{}).first(); first.GroupOpen || first.LifeMark != 0 {
 		t.Errorf("a target whose group does not run and that tells no life was told as %+v", first)
 	}
 }
@@ -154,7 +154,7 @@
 	tells := func(id catalog.ReplicaID) func() bool {
 		return func() bool {
 			d.greet()
-			return d.last().Life == catalog.Life{ID: id}.Mark()
+			return d.last().LifeMark == catalog.Life{ID: id}.Mark()
 		}
 	}
 	eventually(t, "the life is told", tells("former"))
@@ -185,7 +185,7 @@
 	tells := func(l catalog.Life) func() bool {
 		return func() bool {
 			d.greet()
-			return d.last().Life == l.Mark()
+			return d.last().LifeMark == l.Mark()
 		}
 	}
 	eventually(t, "the life is told", tells(catalog.Life{ID: "x", Born: 1000}))
--- a/internal/core/sidecar/forecast.go
+++ b/internal/core/sidecar/forecast.go
@@ -38,7 +38,7 @@
 	own := s.forecast
 	s.mu.Unlock()
 	f, at := s.doer.Forecast()
-	if own.Number > f.Number {
+	if own.Sequence > f.Sequence {
 		return own
 	}
 	if now.Sub(at) > forecastAge {
--- a/internal/core/sidecar/keep.go
+++ b/internal/core/sidecar/keep.go
@@ -79,13 +79,13 @@
 	if engine == nil {
 		return
 	}
-	former, told := s.doer.Keeper()
+	former, told := s.doer.CoordinatorRank()
 	if !told || !s.Config.FencesChecked {
 		// Going on without a rank is safe only where ranks check fences.
 		former = report.Rank
 	}
 	found := s.find(ctx, report, former)
-	if !found.Whole || s.alive(report.Rank, &found) {
+	if !found.Complete || s.alive(report.Rank, &found) {
 		return
 	}
 	// All others found the ranks at the same moment, when the last one answered.
@@ -107,12 +107,12 @@
 	shape := planner.Shape{
 		Layers: engine.Experts.Sets, Experts: engine.Experts.Experts, Ranks: report.Size, Slots: engine.Experts.Places,
 	}
-	k := ranks.NewKeeper(ranks.Parts{
-		Fence: ranks.FenceOf(at), Own: report.Rank, Former: former, Engine: engine, Gap: gap, Log: s.Log, Meter: s.Meter, Members: found.Members,
-		Link:    s.Config.Link,
-		Clock:   s.Clock,
-		Tell:    s.takeForecast,
-		Planner: &planner.Planner{Shape: shape, Smoothing: 1},
+	k := ranks.NewCoordinator(ranks.Config{
+		Fence: ranks.FenceOf(at), OwnRank: report.Rank, FormerRank: former, Engine: engine, MaxEventGap: gap, Log: s.Log, Meter: s.Meter, Members: found.Members,
+		LinkRate:   s.Config.Link,
+		Clock:      s.Clock,
+		OnForecast: s.takeForecast,
+		Planner:    &planner.Planner{Shape: shape, Smoothing: 1},
 	})
 	s.Log.Info("keeping", slog.String("group", string(report.Group)), slog.Int64("fence", int64(ranks.FenceOf(at))), slog.Int("ranks", report.Size))
 	fenced := k.Run(ctx)
@@ -149,25 +149,25 @@
 // it is then busy, or the way from it is disturbed, and a new keeper would only begin
 // anew what it is doing. By one watcher's silence alone two boxes may take turns where
 // a keeper's link is full.
-func (s *Sidecar) alive(r graniteknot.Rank, found *ranks.Found) bool {
+func (s *Sidecar) alive(r graniteknot.Rank, found *ranks.Discovery) bool {
 	fence, heard := s.doer.Fence()
 	silent := s.Clock.Since(heard)
 	if fence == 0 || silent > keeperSilence+time.Duration(r)*keeperTurn+mostDoubt {
 		return false
 	}
-	alive := found.Heeded()
+	alive := found.CoordinatorAlive()
 	if alive {
-		s.Log.Info("keeper heard by others", slog.Int64("fence", int64(fence)), slog.Int("heard", found.Heard),
+		s.Log.Info("keeper heard by others", slog.Int64("fence", int64(fence)), slog.Int("heard", found.HeardCoordinator),
 			slog.Int("answered", found.Answered), eventlog.Milliseconds("silent", silent))
 	}
 	return alive
 }
 
 // find asks all sidecars which rank is theirs.
-func (s *Sidecar) find(ctx context.Context, report *held.Report, former graniteknot.Rank) ranks.Found {
-	places := []ranks.Place{{Sidecar: s.Config.Peers, Target: s.Config.Target, Zone: s.Config.Zone}}
+func (s *Sidecar) find(ctx context.Context, report *held.Report, former graniteknot.Rank) ranks.Discovery {
+	places := []ranks.Endpoint{{Sidecar: s.Config.Peers, Target: s.Config.Target, Zone: s.Config.Zone}}
 	for _, m := range s.Members.Members(presence.RoleSidecar, s.Config.Box) {
-		places = append(places, ranks.Place{Sidecar: m.Peers, Target: m.Target, Zone: m.Zone})
+		places = append(places, ranks.Endpoint{Sidecar: m.PeerAddress, Target: m.Target, Zone: m.Zone})
 	}
-	return ranks.Find(ctx, report.Group, report.Size, former, keeperSilence, places, s.socket, s.Rank)
+	return ranks.Discover(ctx, report.Group, report.Size, former, keeperSilence, places, s.socket, s.Rank)
 }
--- a/internal/core/sidecar/sidecar.go
+++ b/internal/core/sidecar/sidecar.go
@@ -59,9 +59,9 @@
 	Health  watch.Health
 
 	own    held.Rank
-	doer   *ranks.Doer
+	doer   *ranks.Executor
 	socket *presence.Socket
-	census presence.Census
+	census presence.MemberSync
 	server *http.Server
 	// figures serves the metrics; nil without an address for them.
 	figures *http.Server
@@ -83,10 +83,10 @@
 
 // New returns a sidecar that does nothing until Start.
 func New(p Parts) *Sidecar {
-	p.Store = &watch.Metered{Store: p.Store, Meter: p.Meter}
+	p.Store = &watch.MeteredStore{Store: p.Store, Meter: p.Meter}
 	s := &Sidecar{Parts: p, own: p.Rank(p.Config.Target), news: make(chan struct{}, 1)}
 	s.Health.Log = p.Log
-	s.doer = &ranks.Doer{Rank: s.own, Target: p.Config.Target, Log: p.Log, Meter: p.Meter, Clock: p.Clock}
+	s.doer = &ranks.Executor{Rank: s.own, Target: p.Config.Target, Log: p.Log, Meter: p.Meter, Clock: p.Clock}
 	return s
 }
 
@@ -98,15 +98,15 @@
 		return err
 	}
 	s.socket = socket
-	s.doer.Asker = socket
-	socket.Respond(s.doer.Answer)
+	s.doer.Datagrams = socket
+	socket.HandleQueries(s.doer.ServeDatagram)
 	if err := s.listen(ctx); err != nil {
 		return err
 	}
-	self := presence.Member{Box: c.Box, Role: presence.RoleSidecar, Zone: c.Zone, Peers: c.Peers, Target: c.Target, Born: s.Born, Link: c.Link}
-	s.census = presence.Census{Socket: socket, View: &s.Members, Self: self, Clock: s.Clock}
+	self := presence.Member{Box: c.Box, Role: presence.RoleSidecar, Zone: c.Zone, PeerAddress: c.Peers, Target: c.Target, Incarnation: s.Born, LinkRate: c.Link}
+	s.census = presence.MemberSync{Socket: socket, View: &s.Members, Self: self, Clock: s.Clock}
 	registrar := &presence.Registrar{
-		Store: s.Store, View: &s.Members, Health: &s.Health, Log: s.Log, Self: self, Clock: s.Clock, Elsewhere: s.census.Ask,
+		Store: s.Store, View: &s.Members, Health: &s.Health, Log: s.Log, Self: self, Clock: s.Clock, SyncFromPeer: s.census.Sync,
 	}
 	s.group.Go(registrar.Register)
 	s.group.Go(registrar.Follow)
@@ -151,7 +151,7 @@
 }
 
 // heard takes a gateway's datagram, which makes it known.
-func (s *Sidecar) heard(m *presence.Message) { s.Members.Heard(m, s.Clock.Now()) }
+func (s *Sidecar) heard(m *presence.Message) { s.Members.ApplyMessage(m, s.Clock.Now()) }
 
 // digests tells the gateways how busy the target is: as often as their number
 // allows, and at once what can't wait.
@@ -209,14 +209,16 @@
 }
 
 // gateways returns where the gateways are told.
-func (s *Sidecar) gateways() []graniteknot.Address { return s.Members.Audience("", s.Clock.Now()) }
+func (s *Sidecar) gateways() []graniteknot.Address {
+	return s.Members.DirectGateways("", s.Clock.Now())
+}
 
 // period is the time between two digests that are told to so many.
 func (s *Sidecar) period(told int) time.Duration {
 	if told < len(s.Members.Members(presence.RoleGateway, "")) {
-		return presence.RelayedPeriod
+		return presence.RelayedReportInterval
 	}
-	return presence.DigestPeriod(told)
+	return presence.ReportInterval(told)
 }
 
 func (s *Sidecar) tell(r *held.Report, life catalog.Mark, to []graniteknot.Address) {
@@ -225,9 +227,9 @@
 	pass := s.passTime
 	s.told = f.Skew
 	s.mu.Unlock()
-	s.socket.Send(presence.Message{Load: &presence.Digest{
-		Target: s.Config.Target, Running: r.Running, Waiting: r.Waiting, Pace: float32(r.Pace), Open: r.Group == "" || r.State.Open, Pass: pass.Microseconds(),
-		Skew: float32(f.Skew), Loading: f.Loading, Forecast: f.Number, Life: life,
+	s.socket.Send(presence.Message{Load: &presence.LoadReport{
+		Target: s.Config.Target, Running: r.Running, Waiting: r.Waiting, Pace: float32(r.Pace), GroupOpen: r.Group == "" || r.State.Open, PassMicros: pass.Microseconds(),
+		Skew: float32(f.Skew), Loading: f.Loading, ForecastSequence: f.Sequence, LifeMark: life,
 	}}, to)
 }
 
--- a/internal/core/watch/follower.go
+++ b/internal/core/watch/follower.go
@@ -31,40 +31,40 @@
 	Health *Health
 	// Clock is what the age of what was read is decided by.
 	Clock graniteknot.AgeClock
-	// Wait is how long a read waits for a record; WaitNow tells it anew for each read where it
+	// PollWait is how long a read waits for a record; WaitNow tells it anew for each read where it
 	// is set.
-	Wait    time.Duration
-	WaitNow func() time.Duration
-	// Spacing is the least time between the begins of two reads, so that a writer of
+	PollWait     time.Duration
+	PollWaitFunc func() time.Duration
+	// MinReadInterval is the least time between the begins of two reads, so that a writer of
 	// records that nobody can use does not have the store read with each of them.
-	Spacing time.Duration
-	// Pause is the time between two reads.
-	Pause time.Duration
-	// Newest takes the newest record of each key, Next records that follow, of
+	MinReadInterval time.Duration
+	// ReadPause is the time between two reads.
+	ReadPause time.Duration
+	// OnNewest takes the newest record of each key, Next records that follow, of
 	// which there may be none; the read that returned them began at the time.
-	Newest func(records []graniteknot.KeyedRecord, began time.Time)
-	Next   func(records []graniteknot.KeyedRecord, began time.Time)
+	OnNewest func(records []graniteknot.KeyedRecord, began time.Time)
+	OnNext   func(records []graniteknot.KeyedRecord, began time.Time)
 	// Revalidate tells whether another process proves that nothing has changed
 	// since the last read, or hands on what has; then the store is not asked, and the
 	// next look comes after RevalidatePause. Nil where nobody does.
-	Revalidate      func(ctx context.Context) bool
-	RevalidatePause time.Duration
-	// Urgent tells that something is known to have changed; then the next look comes
+	Revalidate         func(ctx context.Context) bool
+	RevalidateInterval time.Duration
+	// ChangePending tells that something is known to have changed; then the next look comes
 	// after urgentPause, whoever is asked. Nil for never.
-	Urgent func() bool
-	// Early has others asked also before the first read.
-	Early bool
-	// Elsewhere takes the newest records from another process, after a call to the
+	ChangePending func() bool
+	// RevalidateFirst has others asked also before the first read.
+	RevalidateFirst bool
+	// FetchFromPeer takes the newest records from another process, after a call to the
 	// store that failed; false when none has others. Nil where nobody does.
-	Elsewhere func(ctx context.Context) bool
-	// Failed notes a failed call; nil for nothing.
-	Failed func(err error)
+	FetchFromPeer func(ctx context.Context) bool
+	// OnFailure notes a failed call; nil for nothing.
+	OnFailure func(err error)
 
-	// Renewed notes that the store has come back from an older copy, before its newest
+	// OnRestore notes that the store has come back from an older copy, before its newest
 	// records are taken; nil for nothing.
-	Renewed func(graniteknot.Era)
-	// Vital has calls that fail or are overdue count as the loss of the store.
-	Vital bool
+	OnRestore func(graniteknot.Era)
+	// DetectLoss has calls that fail or are overdue count as the loss of the store.
+	DetectLoss bool
 	// Wake ends the pause after another process has proved what is known; nil for never.
 	Wake <-chan struct{}
 
@@ -86,9 +86,9 @@
 // Run follows the topic until ctx is done.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if f.Revalidate != nil && (f.begun || f.Early) && f.Revalidate(ctx) {
+		if f.Revalidate != nil && (f.begun || f.RevalidateFirst) && f.Revalidate(ctx) {
 			f.revalidated = true
-			f.sleep(ctx, f.pause(f.RevalidatePause))
+			f.sleep(ctx, f.pause(f.RevalidateInterval))
 			continue
 		}
 		if f.revalidated {
@@ -96,7 +96,7 @@
 			f.revalidated, f.synced = false, false
 		}
 		began := time.Now()
-		pause := f.pause(f.Pause)
+		pause := f.pause(f.ReadPause)
 		switch err := f.step(ctx); {
 		case err == nil || ctx.Err() != nil:
 		case errors.Is(err, errOverdue):
@@ -106,7 +106,7 @@
 			pause = f.failed(err)
 			f.elsewhere(ctx)
 		}
-		delay.For(ctx, max(pause, f.Spacing-time.Since(began)))
+		delay.For(ctx, max(pause, f.MinReadInterval-time.Since(began)))
 	}
 }
 
@@ -123,7 +123,7 @@
 
 // pause is the time until the next look where it is usually so long.
 func (f *Follower) pause(usual time.Duration) time.Duration {
-	if f.Urgent != nil && f.Urgent() {
+	if f.ChangePending != nil && f.ChangePending() {
 		return min(usual, urgentPause)
 	}
 	return usual
@@ -132,7 +132,7 @@
 // elsewhere asks other processes for the records. From then on they can prove that
 // these are the newest, as they can of records that the store gave.
 func (f *Follower) elsewhere(ctx context.Context) {
-	if f.Elsewhere != nil && f.Elsewhere(ctx) {
+	if f.FetchFromPeer != nil && f.FetchFromPeer(ctx) {
 		f.begun = true
 	}
 }
@@ -150,7 +150,7 @@
 			f.renewed(page.End.Era())
 		}
 		f.begun, f.synced, f.read, f.from = true, true, true, page.End
-		f.Newest(page.Records, began)
+		f.OnNewest(page.Records, began)
 		return nil
 	}
 	page, err := f.next(ctx, began)
@@ -170,7 +170,7 @@
 		f.synced = false
 		return nil
 	}
-	f.Next(page.Records, began)
+	f.OnNext(page.Records, began)
 	return nil
 }
 
@@ -193,18 +193,18 @@
 
 // call makes a call that waits for at most a time.
 func (f *Follower) call(ctx context.Context, began time.Time, wait time.Duration, do func(context.Context) (graniteknot.KeyedPage, error)) (graniteknot.KeyedPage, error) {
-	if !f.Vital {
+	if !f.DetectLoss {
 		return f.long(ctx, do)
 	}
-	bounded, cancel := context.WithTimeout(ctx, wait+f.Health.Margin()<<(f.failures%patienceSteps))
+	bounded, cancel := context.WithTimeout(ctx, wait+f.Health.OverdueMargin()<<(f.failures%patienceSteps))
 	defer cancel()
-	f.Health.Begin(f.Topic, began, wait)
+	f.Health.BeginCall(f.Topic, began, wait)
 	page, err := do(bounded)
 	first := f.failures == 0
 	f.cut = first && err != nil && bounded.Err() != nil && ctx.Err() == nil
 	if f.cut {
 		f.failures++
-		f.Health.End(f.Topic, false, 0)
+		f.Health.EndCall(f.Topic, false, 0)
 		return page, errOverdue
 	}
 	if len(page.Records) > 0 && wait > 0 {
@@ -245,15 +245,15 @@
 	if err == nil {
 		took = f.Clock.Since(began) - wait
 	}
-	f.Health.End(f.Topic, answered, took)
+	f.Health.EndCall(f.Topic, answered, took)
 }
 
 // renewed acts on the store's return from an older copy. What is missing there may be
 // written again soon, as after an outage.
 func (f *Follower) renewed(era graniteknot.Era) {
-	f.Health.Renewed(f.Topic, f.from, era, f.Clock.Now())
-	if f.Renewed != nil {
-		f.Renewed(era)
+	f.Health.RecordRestore(f.Topic, f.from, era, f.Clock.Now())
+	if f.OnRestore != nil {
+		f.OnRestore(era)
 	}
 }
 
@@ -265,28 +265,28 @@
 	if f.retry > 0 || f.cut {
 		return 0
 	}
-	if f.WaitNow != nil {
-		return f.WaitNow()
+	if f.PollWaitFunc != nil {
+		return f.PollWaitFunc()
 	}
-	return f.Wait
+	return f.PollWait
 }
 
 func (f *Follower) good() {
 	f.retry, f.failures = 0, 0
-	f.Health.Good(f.Clock.Now())
+	f.Health.RecordSuccess(f.Clock.Now())
 }
 
 func (f *Follower) note(ctx context.Context, began time.Time, err error) error {
 	if ctx.Err() == nil && !errors.Is(err, errOverdue) {
-		f.Health.Bad(began, err)
+		f.Health.RecordFailure(began, err)
 	}
 	return err
 }
 
 // failed returns how long to wait before the next call.
 func (f *Follower) failed(err error) time.Duration {
-	if f.Failed != nil {
-		f.Failed(err)
+	if f.OnFailure != nil {
+		f.OnFailure(err)
 	}
 	f.failures++
 	f.retry = min(max(2*f.retry, firstRetry), longestRetry)
--- a/internal/core/watch/follower_test.go
+++ b/internal/core/watch/follower_test.go
@@ -27,8 +27,8 @@
 func follow(store *keyed.Store, wait time.Duration) *follower {
 	f := &follower{values: map[string]string{}}
 	x := watch.Follower{
-		Store: store, Topic: "t", Health: &f.health, Wait: wait,
-		Newest: func(r []graniteknot.KeyedRecord, began time.Time) { f.reset(); f.take(r, began) }, Next: f.take,
+		Store: store, Topic: "t", Health: &f.health, PollWait: wait,
+		OnNewest: func(r []graniteknot.KeyedRecord, began time.Time) { f.reset(); f.take(r, began) }, OnNext: f.take,
 	}
 	f.run.Go(func(ctx context.Context) { x.Run(ctx) })
 	return f
@@ -100,7 +100,7 @@
 			store.Set(fault)
 			store.Put("t", "a", []byte("1"))
 			time.Sleep(5 * time.Second)
-			if !f.health.Doubtful(time.Now(), 0) {
+			if !f.health.RecentOutage(time.Now(), 0) {
 				t.Error("the outage was not noticed")
 			}
 			store.Set(keyed.FaultNone)
@@ -110,10 +110,10 @@
 			if f.value("a") != "1" {
 				t.Error("a change during the outage is missing")
 			}
-			if back, up := f.health.Back(); !up || time.Since(back) > 3*time.Second {
+			if back, up := f.health.UpSince(); !up || time.Since(back) > 3*time.Second {
 				t.Error("the store's return was not noticed")
 			}
-			if !f.health.Doubtful(time.Now(), time.Minute) || f.health.Doubtful(time.Now().Add(time.Hour), time.Minute) {
+			if !f.health.RecentOutage(time.Now(), time.Minute) || f.health.RecentOutage(time.Now().Add(time.Hour), time.Minute) {
 				t.Error("doubt does not end")
 			}
 		})
@@ -145,14 +145,14 @@
 func TestOldCallTellsNothing(t *testing.T) {
 	var h watch.Health
 	start := time.Now()
-	h.Bad(start.Add(time.Second), graniteknot.ErrNotDone)
-	h.Good(start.Add(2 * time.Second))
-	h.Bad(start, graniteknot.ErrNotDone)
-	if _, up := h.Back(); !up {
+	h.RecordFailure(start.Add(time.Second), graniteknot.ErrNotDone)
+	h.RecordSuccess(start.Add(2 * time.Second))
+	h.RecordFailure(start, graniteknot.ErrNotDone)
+	if _, up := h.UpSince(); !up {
 		t.Error("an old call made the store look lost")
 	}
-	h.Bad(start.Add(3*time.Second), graniteknot.ErrNotDone)
-	if _, up := h.Back(); up {
+	h.RecordFailure(start.Add(3*time.Second), graniteknot.ErrNotDone)
+	if _, up := h.UpSince(); up {
 		t.Error("a new call did not")
 	}
 }
@@ -189,10 +189,10 @@
 		valid.Store(true)
 		f := &follower{values: map[string]string{}}
 		x := watch.Follower{
-			Store: store, Topic: "t", Health: &f.health, Wait: time.Second,
-			Newest:     func(r []graniteknot.KeyedRecord, began time.Time) { f.reset(); f.take(r, began) },
-			Next:       f.take,
-			Revalidate: func(context.Context) bool { return valid.Load() }, RevalidatePause: 100 * time.Millisecond,
+			Store: store, Topic: "t", Health: &f.health, PollWait: time.Second,
+			OnNewest:   func(r []graniteknot.KeyedRecord, began time.Time) { f.reset(); f.take(r, began) },
+			OnNext:     f.take,
+			Revalidate: func(context.Context) bool { return valid.Load() }, RevalidateInterval: 100 * time.Millisecond,
 		}
 		f.run.Go(func(ctx context.Context) { x.Run(ctx) })
 		defer f.run.Stop()
--- a/internal/core/watch/health.go
+++ b/internal/core/watch/health.go
@@ -38,8 +38,8 @@
 	renewed   bool
 }
 
-// Good notes a call that the store answered.
-func (h *Health) Good(now time.Time) {
+// RecordSuccess notes a call that the store answered.
+func (h *Health) RecordSuccess(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.answered = now
@@ -50,9 +50,9 @@
 	h.down, h.back, h.renewed = time.Time{}, now, false
 }
 
-// Elsewhere notes that another process, which has had no trouble with the store of late, read
+// RecordPeerRead notes that another process, which has had no trouble with the store of late, read
 // it at a time.
-func (h *Health) Elsewhere(at time.Time) {
+func (h *Health) RecordPeerRead(at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if at.After(h.elsewhere) {
@@ -60,10 +60,10 @@
 	}
 }
 
-// Bad notes a call that the store did not answer, or refused. One that began
+// RecordFailure notes a call that the store did not answer, or refused. One that began
 // before the store last answered, as a read that waits for long does, tells
 // nothing new.
-func (h *Health) Bad(began time.Time, err error) {
+func (h *Health) RecordFailure(began time.Time, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.down.IsZero() || began.Before(h.answered) {
@@ -73,10 +73,10 @@
 	h.Log.Warn("store lost", slog.String("error", err.Error()))
 }
 
-// Renewed notes that a topic was found in a new era of the store, which counts as its return
+// RecordRestore notes that a topic was found in a new era of the store, which counts as its return
 // from an outage: records that the copy has not may be written again. The position is where
 // the former era was read to.
-func (h *Health) Renewed(t graniteknot.Topic, read graniteknot.Position, era graniteknot.Era, now time.Time) {
+func (h *Health) RecordRestore(t graniteknot.Topic, read graniteknot.Position, era graniteknot.Era, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.back, h.renewed = now, true
@@ -84,8 +84,8 @@
 	h.Log.Warn("store renewed", slog.String("topic", string(t)), slog.Int64("era", int64(era)), slog.String("read_to", read.String()))
 }
 
-// Renewals counts how often a topic was found in a new era of the store.
-func (h *Health) Renewals() uint64 {
+// Restores counts how often a topic was found in a new era of the store.
+func (h *Health) Restores() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.renewals
@@ -95,10 +95,10 @@
 // trouble to have been this process's own: about the time between two reads.
 const recently = 1500 * time.Millisecond
 
-// Doubtful tells whether the store is away, or was within the given time. Where it only turned
+// RecentOutage tells whether the store is away, or was within the given time. Where it only turned
 // this process away it was not: who takes its own trouble for the store's keeps what others know
 // to be gone, and in a large deployment tells it to those that go by its word.
-func (h *Health) Doubtful(now time.Time, within time.Duration) bool {
+func (h *Health) RecentOutage(now time.Time, within time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.down.IsZero() {
@@ -108,9 +108,9 @@
 	return !h.back.IsZero() && now.Sub(h.back) < within && !own
 }
 
-// Back returns when the store answered again after the last outage; false while
+// UpSince returns when the store answered again after the last outage; false while
 // it is away.
-func (h *Health) Back() (time.Time, bool) {
+func (h *Health) UpSince() (time.Time, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.back, h.down.IsZero()
--- a/internal/core/watch/health_test.go
+++ b/internal/core/watch/health_test.go
@@ -29,21 +29,21 @@
 		"another read, but the copy is old": {read: 9.2, renewed: true, want: true},
 	} {
 		h := &watch.Health{}
-		h.Bad(at(2), errAway)
+		h.RecordFailure(at(2), errAway)
 		if c.read > 0 {
-			h.Elsewhere(at(c.read))
+			h.RecordPeerRead(at(c.read))
 		}
-		if !h.Doubtful(at(9.5), doubt) {
+		if !h.RecentOutage(at(9.5), doubt) {
 			t.Errorf("%s: not doubtful while the store is away", name)
 		}
-		h.Good(at(10))
+		h.RecordSuccess(at(10))
 		if c.renewed {
-			h.Renewed(graniteknot.TopicReplicas, 7, 2, at(10))
+			h.RecordRestore(graniteknot.TopicReplicas, 7, 2, at(10))
 		}
-		if got := h.Doubtful(at(10.2), doubt); got != c.want {
+		if got := h.RecentOutage(at(10.2), doubt); got != c.want {
 			t.Errorf("%s: doubtful %v", name, got)
 		}
-		if h.Doubtful(at(13), doubt) {
+		if h.RecentOutage(at(13), doubt) {
 			t.Errorf("%s: doubtful for too long", name)
 		}
 	}
--- a/internal/core/watch/metered.go
+++ b/internal/core/watch/metered.go
@@ -9,14 +9,14 @@
 	"graniteknot.org/go/internal/core/meter"
 )
 
-// Metered counts the calls to a store by kind and result.
-type Metered struct {
+// MeteredStore counts the calls to a store by kind and result.
+type MeteredStore struct {
 	Store graniteknot.KeyedStore
 	Meter *meter.Meter
 }
 
 // Newest implements graniteknot.KeyedStore.
-func (m *Metered) Newest(ctx context.Context, t graniteknot.Topic) (graniteknot.KeyedPage, error) {
+func (m *MeteredStore) Newest(ctx context.Context, t graniteknot.Topic) (graniteknot.KeyedPage, error) {
 	began := time.Now()
 	page, err := m.Store.Newest(ctx, t)
 	m.note("newest", t, began, err)
@@ -24,7 +24,7 @@
 }
 
 // Read implements graniteknot.KeyedStore.
-func (m *Metered) Read(ctx context.Context, t graniteknot.Topic, from graniteknot.Position, wait time.Duration) (graniteknot.KeyedPage, error) {
+func (m *MeteredStore) Read(ctx context.Context, t graniteknot.Topic, from graniteknot.Position, wait time.Duration) (graniteknot.KeyedPage, error) {
 	began := time.Now()
 	page, err := m.Store.Read(ctx, t, from, wait)
 	m.note("read", t, began, err)
@@ -32,7 +32,7 @@
 }
 
 // Append implements graniteknot.KeyedStore.
-func (m *Metered) Append(ctx context.Context, t graniteknot.Topic, r graniteknot.KeyedRecord) (graniteknot.Position, error) {
+func (m *MeteredStore) Append(ctx context.Context, t graniteknot.Topic, r graniteknot.KeyedRecord) (graniteknot.Position, error) {
 	began := time.Now()
 	at, err := m.Store.Append(ctx, t, r)
 	m.note("append", t, began, err)
@@ -40,14 +40,14 @@
 }
 
 // AppendAt implements graniteknot.KeyedStore.
-func (m *Metered) AppendAt(ctx context.Context, t graniteknot.Topic, end graniteknot.Position, r graniteknot.KeyedRecord) (graniteknot.Position, error) {
+func (m *MeteredStore) AppendAt(ctx context.Context, t graniteknot.Topic, end graniteknot.Position, r graniteknot.KeyedRecord) (graniteknot.Position, error) {
 	began := time.Now()
 	at, err := m.Store.AppendAt(ctx, t, end, r)
 	m.note("append_at", t, began, err)
 	return at, err
 }
 
-func (m *Metered) note(op string, t graniteknot.Topic, began time.Time, err error) {
+func (m *MeteredStore) note(op string, t graniteknot.Topic, began time.Time, err error) {
 	labels := []meter.Label{{Name: "call", Value: op}, {Name: "topic", Value: string(t)}}
 	m.Meter.Observe("graniteknot_store_call_seconds", time.Since(began), labels...)
 	m.Meter.Count("graniteknot_store_calls_total", append(labels, meter.Label{Name: "result", Value: resultOf(err)})...)
--- a/internal/core/watch/overdue.go
+++ b/internal/core/watch/overdue.go
@@ -23,8 +23,8 @@
 	failed bool
 }
 
-// Begin notes that a call on a topic begins, which waits for a record for at most a time.
-func (h *Health) Begin(t graniteknot.Topic, now time.Time, wait time.Duration) {
+// BeginCall notes that a call on a topic begins, which waits for a record for at most a time.
+func (h *Health) BeginCall(t graniteknot.Topic, now time.Time, wait time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.readings == nil {
@@ -35,8 +35,8 @@
 	h.readings[t] = x
 }
 
-// Margin returns how long after its time a call counts as overdue.
-func (h *Health) Margin() time.Duration {
+// OverdueMargin returns how long after its time a call counts as overdue.
+func (h *Health) OverdueMargin() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.margin()
@@ -45,9 +45,9 @@
 // margin is called with the lock held.
 func (h *Health) margin() time.Duration { return max(leastOverdue, overdueTimes*h.took) }
 
-// End notes that the call on a topic has ended. Took is how long the store needed for its
+// EndCall notes that the call on a topic has ended. Took is how long the store needed for its
 // answer; 0 where that can't be told.
-func (h *Health) End(t graniteknot.Topic, answered bool, took time.Duration) {
+func (h *Health) EndCall(t graniteknot.Topic, answered bool, took time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.readings[t] = reading{failed: !answered}
--- a/internal/core/watch/overdue_test.go
+++ b/internal/core/watch/overdue_test.go
@@ -21,8 +21,8 @@
 		store := &keyed.Store{}
 		var health watch.Health
 		x := watch.Follower{
-			Store: store, Topic: "t", Health: &health, Wait: wait, Vital: true,
-			Newest: func([]graniteknot.KeyedRecord, time.Time) {}, Next: func([]graniteknot.KeyedRecord, time.Time) {},
+			Store: store, Topic: "t", Health: &health, PollWait: wait, DetectLoss: true,
+			OnNewest: func([]graniteknot.KeyedRecord, time.Time) {}, OnNext: func([]graniteknot.KeyedRecord, time.Time) {},
 		}
 		var run group.Group
 		run.Go(func(ctx context.Context) { x.Run(ctx) })
@@ -58,13 +58,13 @@
 	var h watch.Health
 	now := time.Now()
 	for range 3 {
-		h.Begin("t", now, 0)
+		h.BeginCall("t", now, 0)
 		if h.Lost(now.Add(took)) {
 			t.Error("lost before the answer is overdue")
 		}
-		h.End("t", true, took)
+		h.EndCall("t", true, took)
 	}
-	h.Begin("t", now, 0)
+	h.BeginCall("t", now, 0)
 	if h.Lost(now.Add(2 * took)) {
 		t.Error("lost after twice the usual time")
 	}
@@ -98,7 +98,7 @@
 		var health watch.Health
 		var seen atomic.Int32
 		take := func(r []graniteknot.KeyedRecord, _ time.Time) { seen.Add(int32(len(r))) }
-		x := watch.Follower{Store: store, Topic: "t", Health: &health, Wait: wait, Vital: true, Newest: take, Next: take}
+		x := watch.Follower{Store: store, Topic: "t", Health: &health, PollWait: wait, DetectLoss: true, OnNewest: take, OnNext: take}
 		var run group.Group
 		run.Go(func(ctx context.Context) { x.Run(ctx) })
 		defer run.Stop()
@@ -110,7 +110,7 @@
 		if seen.Load() == 0 {
 			t.Error("the change was not seen")
 		}
-		if _, up := health.Back(); !up || health.Doubtful(time.Now(), time.Minute) {
+		if _, up := health.UpSince(); !up || health.RecentOutage(time.Now(), time.Minute) {
 			t.Error("the store counts as lost")
 		}
 	})
@@ -127,8 +127,8 @@
 		take := func(r []graniteknot.KeyedRecord, _ time.Time) { seen.Add(int32(len(r))) }
 		var run group.Group
 		for _, x := range []watch.Follower{
-			{Store: store, Topic: "often", Health: &health, Wait: time.Second, Vital: true, Newest: nothing, Next: nothing},
-			{Store: &mutedStore{Store: store}, Topic: "rarely", Health: &health, Wait: 20 * time.Second, Newest: take, Next: take},
+			{Store: store, Topic: "often", Health: &health, PollWait: time.Second, DetectLoss: true, OnNewest: nothing, OnNext: nothing},
+			{Store: &mutedStore{Store: store}, Topic: "rarely", Health: &health, PollWait: 20 * time.Second, OnNewest: take, OnNext: take},
 		} {
 			run.Go(func(ctx context.Context) { x.Run(ctx) })
 		}
