--- a/internal/core/quarantine/record.go
+++ b/internal/core/quarantine/record.go
@@ -26,7 +26,7 @@
 // record is the value of an entry's record in the store. Only requests that are kept from
 // replicas have one; a record without a value releases its request.
 type record struct {
-	Lives []catalog.Mark `json:"lives"`
+	CrashedReplicas []catalog.Mark `json:"lives"`
 }
 
 // EncodeRecord returns the record of a request that is kept from replicas, or was released.
@@ -35,7 +35,7 @@
 	if e.Released {
 		return out, nil
 	}
-	value, err := json.Marshal(record{Lives: e.CrashedReplicas})
+	value, err := json.Marshal(record{CrashedReplicas: e.CrashedReplicas})
 	if err != nil {
 		return out, &Error{Op: "write record", Kind: KindMalformed, Err: err}
 	}
@@ -59,7 +59,7 @@
 	if err := json.Unmarshal(r.Value, &v); err != nil {
 		return e, &Error{Op: "read record", Kind: KindMalformed, Err: err}
 	}
-	e.CrashedReplicas = v.Lives
+	e.CrashedReplicas = v.CrashedReplicas
 	if !e.Quarantined() || len(e.CrashedReplicas) > mostLives {
 		return e, &Error{Op: "read record", Kind: KindMalformed, Err: fmt.Errorf("%d lives", len(e.CrashedReplicas))}
 	}
