--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -13,8 +13,8 @@
 )
 
 var (
-	plain  = &catalog.Service{Name: "s"}
-	engine = &catalog.Service{Name: "s", Engine: &catalog.Engine{
+	plainService  = &catalog.Service{Name: "s"}
+	engineService = &catalog.Service{Name: "s", Engine: &catalog.Engine{
 		Slots: 4, Step: 20 * time.Millisecond, PerWriter: 5 * time.Millisecond, Chunk: 512, Stride: 1,
 	}}
 )
@@ -23,8 +23,8 @@
 	return catalog.Replica{ID: id, Service: "s", Address: graniteknot.Address(id)}
 }
 
-// with returns a table of replicas that have been registered for long.
-func with(ids ...catalog.ReplicaID) *fleet.Table {
+// newTable returns a table of replicas registered an hour ago.
+func newTable(ids ...catalog.ReplicaID) *fleet.Table {
 	t := &fleet.Table{}
 	for _, id := range ids {
 		t.Put(replica(id), time.Now().Add(-time.Hour))
@@ -33,7 +33,7 @@
 }
 
 func pick(t *fleet.Table, tried ...catalog.Life) catalog.ReplicaID {
-	l := t.Pick(&fleet.Query{Service: plain, Tried: tried, Now: time.Now()})
+	l := t.Pick(&fleet.Query{Service: plainService, Tried: tried, Now: time.Now()})
 	if l == nil {
 		return ""
 	}
@@ -41,12 +41,12 @@
 	return l.Replica.ID
 }
 
-func TestDrainingIsNeverChosen(t *testing.T) {
-	table := with("a", "b")
-	leaving := replica("a")
-	leaving.Draining = true
-	table.Put(leaving, time.Now())
-	// A late heartbeat from before does not bring it back.
+func TestDrainingReplicaIsNeverChosen(t *testing.T) {
+	table := newTable("a", "b")
+	draining := replica("a")
+	draining.Draining = true
+	table.Put(draining, time.Now())
+	// A late heartbeat from before doesn't bring it back.
 	table.Put(replica("a"), time.Now())
 	for range 20 {
 		if got := pick(table); got != "b" {
@@ -54,35 +54,35 @@
 		}
 	}
 	if got := pick(table, catalog.Life{ID: "b"}); got != "" {
-		t.Errorf("chose %q when only the leaving one is left", got)
+		t.Errorf("chose %q when only the draining one is left", got)
 	}
 }
 
-// TestLapsedComesBackOrGoes keeps a replica whose record vanished while the
-// store was away until two seconds after the store's return.
-func TestLapsedComesBackOrGoes(t *testing.T) {
-	table := with("a", "b")
+// TestLapsedReplicaReturnsOrIsRemoved checks that a replica whose record vanished
+// while the store was away is kept until two seconds after the store's return.
+func TestLapsedReplicaReturnsOrIsRemoved(t *testing.T) {
+	table := newTable("a", "b")
 	start := time.Now()
 	table.MarkLapsed("a", start)
 	table.MarkLapsed("b", start)
-	back := start.Add(10 * time.Second)
-	if gone := table.RemoveLapsed(back, back.Add(1900*time.Millisecond)); len(gone) != 0 {
-		t.Fatalf("gone too early: %v", gone)
+	storeBack := start.Add(10 * time.Second)
+	if removed := table.RemoveLapsed(storeBack, storeBack.Add(1900*time.Millisecond)); len(removed) != 0 {
+		t.Fatalf("removed too early: %v", removed)
 	}
-	table.Put(replica("b"), back.Add(time.Second))
-	if gone := table.RemoveLapsed(back, back.Add(2*time.Second)); len(gone) != 1 || gone[0] != "a" {
-		t.Fatalf("gone: %v", gone)
+	table.Put(replica("b"), storeBack.Add(time.Second))
+	if gone := table.RemoveLapsed(storeBack, storeBack.Add(2*time.Second)); len(gone) != 1 || gone[0] != "a" {
+		t.Fatalf("removed: %v", gone)
 	}
 	if got := pick(table); got != "b" {
 		t.Errorf("chose %q", got)
 	}
 }
 
-func TestFailuresPauseAReplica(t *testing.T) {
-	table := with("a", "b")
+func TestConsecutiveFailuresEjectReplica(t *testing.T) {
+	table := newTable("a", "b")
 	now := time.Now()
 	for range 2 {
-		l := table.Pick(&fleet.Query{Service: plain, Tried: []catalog.Life{{ID: "b"}}, Now: now})
+		l := table.Pick(&fleet.Query{Service: plainService, Tried: []catalog.Life{{ID: "b"}}, Now: now})
 		l.End(fleet.VerdictBad, now)
 	}
 	for range 20 {
@@ -90,88 +90,87 @@
 			t.Fatalf("chose %q right after failures", got)
 		}
 	}
-	// One request at a time tries it again later.
+	// Later, one request at a time probes it.
 	later := now.Add(time.Minute)
-	query := &fleet.Query{Service: plain, Tried: []catalog.Life{{ID: "b"}}, Now: later}
-	trial := table.Pick(query)
-	if trial == nil || trial.Replica.ID != "a" {
-		t.Fatal("not tried again")
+	query := &fleet.Query{Service: plainService, Tried: []catalog.Life{{ID: "b"}}, Now: later}
+	probe := table.Pick(query)
+	if probe == nil || probe.Replica.ID != "a" {
+		t.Fatal("the ejected replica was not probed")
 	}
 	if _, usable := table.Count("s", later); usable != 1 {
-		t.Errorf("%d usable while it is tried", usable)
+		t.Errorf("%d usable while it is probed", usable)
 	}
-	trial.End(fleet.VerdictGood, later)
+	probe.End(fleet.VerdictGood, later)
 	if _, usable := table.Count("s", later); usable != 2 {
 		t.Errorf("%d usable after it answered", usable)
 	}
 }
 
 func TestLeastBusyEngineIsChosen(t *testing.T) {
-	table := with("a", "b", "c")
+	table := newTable("a", "b", "c")
 	now := time.Now()
 	table.Report("a", fleet.Load{Running: 3, Taken: now})
 	table.Report("b", fleet.Load{Running: 1, Taken: now})
 	table.Report("c", fleet.Load{Running: 1, Waiting: 2, Taken: now})
-	got := table.Pick(&fleet.Query{Service: engine, Now: now})
+	got := table.Pick(&fleet.Query{Service: engineService, Now: now})
 	if got.Replica.ID != "b" {
 		t.Errorf("chose %q", got.Replica.ID)
 	}
-	// Its own request counts at once, the old report does not count for ever.
-	if next := table.Pick(&fleet.Query{Service: engine, Now: now}); next.Replica.ID != "b" {
+	// Its own request counts at once; an old report doesn't count forever.
+	if next := table.Pick(&fleet.Query{Service: engineService, Now: now}); next.Replica.ID != "b" {
 		t.Errorf("chose %q for the second", next.Replica.ID)
 	}
-	if third := table.Pick(&fleet.Query{Service: engine, Now: now.Add(time.Hour)}); third.Replica.ID == "b" {
-		t.Error("an old report counts")
+	if third := table.Pick(&fleet.Query{Service: engineService, Now: now.Add(time.Hour)}); third.Replica.ID == "b" {
+		t.Error("an outdated report still counts")
 	}
 }
 
-// TestRoomFollowsThePass gives fewer requests to engines whose passes are long.
-func TestRoomFollowsThePass(t *testing.T) {
-	taken := func(pass time.Duration, running int) int {
-		table := with("a")
+// TestCapacityFollowsPassTime checks that engines with long passes get fewer requests.
+func TestCapacityFollowsPassTime(t *testing.T) {
+	accepted := func(pass time.Duration, running int) int {
+		table := newTable("a")
 		now := time.Now()
 		table.Report("a", fleet.Load{Running: running, Pass: pass, Taken: now})
 		n := 0
 		for ; n < 10; n++ {
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
-			query := &fleet.Query{Service: engine, MaxGap: 100 * time.Millisecond, Now: now}
+			query := &fleet.Query{Service: engineService, MaxGap: 100 * time.Millisecond, Now: now}
 			if table.Acquire(ctx, query, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now}) == nil {
 				break
 			}
 		}
 		return n
 	}
-	if n := taken(0, 0); n != 4 {
-		t.Errorf("an idle engine took %d, has 4 slots", n)
+	if n := accepted(0, 0); n != 4 {
+		t.Errorf("an idle engine got %d, has 4 slots", n)
 	}
-	if n := taken(40*time.Millisecond, 2); n != 2 {
-		t.Errorf("a fast engine took %d beside 2, has 4 slots", n)
+	if n := accepted(40*time.Millisecond, 2); n != 2 {
+		t.Errorf("a fast engine got %d beside 2, has 4 slots", n)
 	}
-	if n := taken(50*time.Millisecond, 1); n != 1 {
-		t.Errorf("an engine whose passes nearly take the gap took %d beside 1", n)
+	if n := accepted(50*time.Millisecond, 1); n != 1 {
+		t.Errorf("an engine whose passes nearly take the maximum gap got %d beside 1", n)
 	}
-	// Where no pause can be useful any more, many late answers are worth more
-	// than few.
-	if n := taken(400*time.Millisecond, 0); n != 4 {
-		t.Errorf("an engine that is too slow anyway took %d", n)
+	// Where no pause can be useful any more, many late responses are worth more than few.
+	if n := accepted(400*time.Millisecond, 0); n != 4 {
+		t.Errorf("an engine too slow for any gap got %d", n)
 	}
 }
 
-// TestQueueServesThoseInTime serves the more urgent first, then those who can
-// still be in time, and tells those who wait too long.
-func TestQueueServesThoseInTime(t *testing.T) {
+// TestQueueOrder checks that the more urgent are served first, then those that can
+// still be in time, and that a request that waits too long gives up.
+func TestQueueOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table := with("a")
+		table := newTable("a")
 		start := time.Now()
-		var held []*fleet.Lease
+		var leases []*fleet.Lease
 		for range 4 {
-			held = append(held, table.Acquire(t.Context(), &fleet.Query{Service: engine, Now: start}, fleet.WaitBounds{}))
+			leases = append(leases, table.Acquire(t.Context(), &fleet.Query{Service: engineService, Now: start}, fleet.WaitBounds{}))
 		}
 		order := make(chan string, 4)
 		var callers sync.WaitGroup
 		wait := func(name string, urgency catalog.Urgency, aim, last time.Duration) {
-			query := &fleet.Query{Service: engine, Urgency: urgency, Now: time.Now()}
+			query := &fleet.Query{Service: engineService, Urgency: urgency, Now: time.Now()}
 			lease := table.Acquire(t.Context(), query, fleet.WaitBounds{FirstEventBy: start.Add(aim), GiveUpAt: start.Add(last)})
 			if lease == nil {
 				order <- name + " gave up"
@@ -195,7 +194,7 @@
 		}
 		defer callers.Wait()
 		time.Sleep(5 * time.Second)
-		held[0].End(fleet.VerdictGood, time.Now())
+		leases[0].End(fleet.VerdictGood, time.Now())
 		for _, want := range []string{"impatient gave up", "urgent", "in time", "late"} {
 			if got := <-order; got != want {
 				t.Errorf("got %q, want %q", got, want)
@@ -204,10 +203,10 @@
 	})
 }
 
-// TestCrowdedGatewaysShare keeps each gateway to its part once nearly all room
-// is taken.
-func TestCrowdedGatewaysShare(t *testing.T) {
-	table := with("a", "b")
+// TestCrowdedGatewaysKeepToTheirShares checks that each gateway keeps to its share once
+// nearly all capacity is used.
+func TestCrowdedGatewaysKeepToTheirShares(t *testing.T) {
+	table := newTable("a", "b")
 	table.SetGateways(4)
 	now := time.Now()
 	table.Report("a", fleet.Load{Running: 3, Taken: now})
@@ -215,19 +214,19 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	n := 0
-	for table.Acquire(ctx, &fleet.Query{Service: engine, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now}) != nil {
+	for table.Acquire(ctx, &fleet.Query{Service: engineService, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now}) != nil {
 		n++
 	}
 	if n != 2 {
-		t.Errorf("one of four gateways took %d of 8 places", n)
+		t.Errorf("one of four gateways took %d of 8 slots", n)
 	}
 }
 
-// TestClosedGroupGetsNothing waits while a group does not run, and goes on at
-// once when a report says that it does.
-func TestClosedGroupGetsNothing(t *testing.T) {
+// TestDownGroupGetsNoRequests checks that a request waits while a group is down and
+// proceeds as soon as a report says that it runs.
+func TestDownGroupGetsNoRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table := with("a")
+		table := newTable("a")
 		table.Report("a", fleet.Load{GroupDown: true, Taken: time.Now()})
 		var callers sync.WaitGroup
 		defer callers.Wait()
@@ -236,7 +235,7 @@
 			table.Report("a", fleet.Load{Taken: time.Now()})
 		})
 		asked := time.Now()
-		query := &fleet.Query{Service: engine, Now: asked, RequestedAt: asked}
+		query := &fleet.Query{Service: engineService, Now: asked, RequestedAt: asked}
 		lease := table.Acquire(t.Context(), query, fleet.WaitBounds{FirstEventBy: asked.Add(time.Second), GiveUpAt: asked.Add(time.Second)})
 		if lease == nil || time.Since(asked) != 300*time.Millisecond || lease.Inputs.Waited != 300*time.Millisecond {
 			t.Errorf("%+v after %v", lease, time.Since(asked))
@@ -244,10 +243,10 @@
 	})
 }
 
-// TestSlowRankGetsLess keeps requests from a rank that tells it is slow, since
-// its whole group waits for it.
-func TestSlowRankGetsLess(t *testing.T) {
-	table := with("fast", "slow")
+// TestSlowRankGetsFewerRequests checks that a rank that reports to be slow gets fewer
+// requests, since its whole group waits for it.
+func TestSlowRankGetsFewerRequests(t *testing.T) {
+	table := newTable("fast", "slow")
 	now := time.Now()
 	table.Report("fast", fleet.Load{Pace: 1, Taken: now})
 	table.Report("slow", fleet.Load{Pace: 2, Taken: now})
@@ -255,23 +254,23 @@
 	cancel()
 	got := map[catalog.ReplicaID]int{}
 	for range 10 {
-		if l := table.Acquire(ctx, &fleet.Query{Service: engine, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now}); l != nil {
+		if l := table.Acquire(ctx, &fleet.Query{Service: engineService, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now}); l != nil {
 			got[l.Replica.ID]++
 		}
 	}
 	if got["fast"] != 4 || got["slow"] != 2 {
-		t.Errorf("%v of 4 slots each, one at half the pace", got)
+		t.Errorf("%v of 4 slots each, one at half the speed", got)
 	}
 }
 
-// TestNewEngineWaitsForItsReport sends nothing to an engine that was just
-// registered until its sidecar tells that it runs, or is taken to have none.
-func TestNewEngineWaitsForItsReport(t *testing.T) {
+// TestNewEngineWaitsForFirstReport checks that a newly registered engine gets no requests
+// until its sidecar reports that it runs, or it is taken to have no sidecar.
+func TestNewEngineWaitsForFirstReport(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	now := time.Now()
 	acquire := func(table *fleet.Table, at time.Time) bool {
-		return table.Acquire(ctx, &fleet.Query{Service: engine, Now: at}, fleet.WaitBounds{FirstEventBy: at, GiveUpAt: at}) != nil
+		return table.Acquire(ctx, &fleet.Query{Service: engineService, Now: at}, fleet.WaitBounds{FirstEventBy: at, GiveUpAt: at}) != nil
 	}
 	table := &fleet.Table{}
 	table.Put(replica("a"), now)
@@ -279,12 +278,12 @@
 		t.Error("a new engine got a request before its report")
 	}
 	if !acquire(table, now.Add(2*time.Second)) {
-		t.Error("an engine without a sidecar gets nothing")
+		t.Error("an engine without a sidecar got no request")
 	}
 	table = &fleet.Table{}
 	table.Put(replica("a"), now)
 	table.Report("a", fleet.Load{Taken: now})
 	if !acquire(table, now) {
-		t.Error("an engine that runs gets nothing")
+		t.Error("a running engine got no request")
 	}
 }
--- a/internal/core/fleet/limited_group_test.go
+++ b/internal/core/fleet/limited_group_test.go
@@ -12,9 +12,10 @@
 	"graniteknot.org/go/internal/core/quota"
 )
 
-// limitedGroup is a group of four engines, all idle under an even map, some of which name a limit.
-func limitedGroup(limited int, rate quota.Rate, now time.Time) *fleet.Table {
-	table := group(4, fleet.Load{Running: 2, Pass: 30 * time.Millisecond, Forecast: fleet.Forecast{Skew: 2.2, Number: 1}}, now)
+// newLimitedGroup returns a table of a group of four engines with equal loads, some of them
+// with a limit.
+func newLimitedGroup(limited int, rate quota.Rate, now time.Time) *fleet.Table {
+	table := newGroupTable(4, fleet.Load{Running: 2, Pass: 30 * time.Millisecond, Forecast: fleet.Forecast{Skew: 2.2, Number: 1}}, now)
 	for i := range limited {
 		life := catalog.Life{ID: catalog.ReplicaID(rune('a' + i))}
 		table.ApplyNotice(&quota.Told{Key: quota.KeyOf(life), Holds: true, Rate: rate}, now)
@@ -22,49 +23,50 @@
 	return table
 }
 
-// TestLimitedRanksLeaveTheGroupsRoom has two of four ranks take nothing: the others get what the
-// group bears, as far as they have slots.
-func TestLimitedRanksLeaveTheGroupsRoom(t *testing.T) {
+// TestLimitedRanksKeepGroupCapacity has two of four ranks accept nothing: the others get what
+// the whole group has capacity for, up to their slots.
+func TestLimitedRanksKeepGroupCapacity(t *testing.T) {
 	now := time.Now()
-	all := taken(limitedGroup(0, 0, now), 1, now)
-	two := taken(limitedGroup(2, 0, now), 1, now)
-	if want := min(all, 2*(grouped.Engine.Slots-2)); two != want {
-		t.Errorf("%d requests with two limited ranks, %d without, %d wanted", two, all, want)
+	unlimited := countAccepted(newLimitedGroup(0, 0, now), 1, now)
+	twoLimited := countAccepted(newLimitedGroup(2, 0, now), 1, now)
+	if want := min(unlimited, 2*(groupedService.Engine.Slots-2)); twoLimited != want {
+		t.Errorf("%d requests with two limited ranks, %d without, want %d", twoLimited, unlimited, want)
 	}
 }
 
-// TestGroupOfLimitedRanks has all four ranks take 2 a second while 40 a second come: most of what
-// they take is used, and whoever gets no permit in time is told at once.
+// TestGroupOfLimitedRanks has all four ranks accept 2 requests a second while 40 a second
+// arrive: most of the permits are used, and requests without a permit in time are refused at
+// once.
 func TestGroupOfLimitedRanks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table := limitedGroup(4, 2, time.Now())
+		table := newLimitedGroup(4, 2, time.Now())
 		var mu sync.Mutex
 		var wait sync.WaitGroup
-		served, late, refused, told, longest := 0, 0, 0, 0, time.Duration(0)
+		served, late, refused, refusedAtOnce, longestRefusal := 0, 0, 0, 0, time.Duration(0)
 		const atOnce = 20 * time.Millisecond
-		const come = 400
-		for n := range come + 80 {
+		const callers = 400
+		for n := range callers + 80 {
 			for i := range 4 {
 				id := catalog.ReplicaID(rune('a' + i))
 				table.Report(replica(id).Address, fleet.Load{Running: 1, Pass: 30 * time.Millisecond, Forecast: fleet.Forecast{Skew: 1.2, Number: 1}, Taken: time.Now()})
 			}
 			table.Sweep(time.Now())
-			if n >= come {
-				// Who waits is still looked after.
+			if n >= callers {
+				// Queued requests are still served.
 				time.Sleep(25 * time.Millisecond)
 				continue
 			}
 			wait.Go(func() {
 				now := time.Now()
-				q := &fleet.Query{Service: grouped, MaxGap: usefulGap, Now: now, RequestedAt: now}
+				q := &fleet.Query{Service: groupedService, MaxGap: usefulGap, Now: now, RequestedAt: now}
 				l := table.Acquire(context.Background(), q, fleet.WaitBounds{FirstEventBy: now.Add(500 * time.Millisecond), GiveUpAt: now.Add(1500 * time.Millisecond)})
 				mu.Lock()
 				defer mu.Unlock()
 				if l == nil {
-					longest = max(longest, time.Since(now))
+					longestRefusal = max(longestRefusal, time.Since(now))
 					refused++
 					if time.Since(now) <= atOnce {
-						told++
+						refusedAtOnce++
 					}
 					return
 				}
@@ -78,11 +80,11 @@
 			time.Sleep(25 * time.Millisecond)
 		}
 		wait.Wait()
-		if served < 60 || served > 80 || late > 0 || longest > 100*time.Millisecond {
-			t.Errorf("%d of 80 served, %d of them late; told after %v at the longest", served, late, longest)
+		if served < 60 || served > 80 || late > 0 || longestRefusal > 100*time.Millisecond {
+			t.Errorf("%d of 80 served, %d of them late; longest wait of a refused one %v", served, late, longestRefusal)
 		}
-		if 2*told <= refused {
-			t.Errorf("%d of %d refused within %v", told, refused, atOnce)
+		if 2*refusedAtOnce <= refused {
+			t.Errorf("%d of %d refused within %v", refusedAtOnce, refused, atOnce)
 		}
 	})
 }
--- a/internal/core/fleet/silence_test.go
+++ b/internal/core/fleet/silence_test.go
@@ -8,41 +8,40 @@
 	"graniteknot.org/go/internal/core/fleet"
 )
 
-// acquireAt returns a lease that is to be had at once, or nil.
+// acquireAt returns a lease that is available at once, or nil.
 func acquireAt(t *testing.T, table *fleet.Table, now time.Time) *fleet.Lease {
 	t.Helper()
-	return table.Acquire(t.Context(), &fleet.Query{Service: engine, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now})
+	return table.Acquire(t.Context(), &fleet.Query{Service: engineService, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now})
 }
 
-// TestSilentReplicaGetsNothing keeps requests from a replica that neither its
-// sidecar nor its own answers show to be reachable, and has those moved that are
-// there.
-func TestSilentReplicaGetsNothing(t *testing.T) {
-	table := with("a", "b")
+// TestSilentReplicaGetsNoRequests checks that a replica heard neither through its sidecar
+// nor by its responses gets no requests, and that its requests are rerouted.
+func TestSilentReplicaGetsNoRequests(t *testing.T) {
+	table := newTable("a", "b")
 	now := time.Now()
 	table.Report("a", fleet.Load{Taken: now})
 	table.Report("b", fleet.Load{Taken: now, Running: 3})
-	stuck := acquireAt(t, table, now)
-	if stuck == nil || stuck.Replica.ID != "a" {
-		t.Fatal("the idle one was not chosen")
+	lease := acquireAt(t, table, now)
+	if lease == nil || lease.Replica.ID != "a" {
+		t.Fatal("the idle replica was not chosen")
 	}
-	moved := false
-	stuck.OnReroute(func() { moved = true })
+	rerouted := false
+	lease.OnReroute(func() { rerouted = true })
 	now = now.Add(time.Second)
 	table.Report("b", fleet.Load{Taken: now, Running: 3})
-	changed, found := table.Sweep(now)
-	if len(changed) != 1 || changed[0].Replica != "a" || !changed[0].Silent || len(found) != 1 {
-		t.Fatalf("%+v, %d to be moved", changed, len(found))
+	changed, leases := table.Sweep(now)
+	if len(changed) != 1 || changed[0].Replica != "a" || !changed[0].Silent || len(leases) != 1 {
+		t.Fatalf("%+v, %d to be rerouted", changed, len(leases))
 	}
-	found[0].Reroute()
-	if !moved {
-		t.Error("the request was not moved")
+	leases[0].Reroute()
+	if !rerouted {
+		t.Error("the request was not rerouted")
 	}
 	if l := acquireAt(t, table, now); l == nil || l.Replica.ID != "b" {
 		t.Error("a silent replica was chosen")
 	}
 	// Its sidecar is heard again.
-	stuck.End(fleet.VerdictNone, now)
+	lease.End(fleet.VerdictNone, now)
 	table.Report("a", fleet.Load{Taken: now})
 	if changed, _ := table.Sweep(now); len(changed) != 1 || changed[0].Silent {
 		t.Errorf("%+v after a report", changed)
@@ -52,10 +51,10 @@
 	}
 }
 
-// TestAnswersAreSignsOfLife keeps a replica in use whose sidecar alone is gone,
-// and tries one now and then that nobody hears of.
-func TestAnswersAreSignsOfLife(t *testing.T) {
-	table := with("a", "b")
+// TestResponsesKeepReplicaInUse checks that a replica whose sidecar alone is gone stays in
+// use, and that one that isn't heard at all is probed now and then.
+func TestResponsesKeepReplicaInUse(t *testing.T) {
+	table := newTable("a", "b")
 	now := time.Now()
 	table.Report("a", fleet.Load{Taken: now})
 	table.Report("b", fleet.Load{Taken: now, Running: 3})
@@ -64,11 +63,11 @@
 	l.RecordResponse(now)
 	table.Report("b", fleet.Load{Taken: now, Running: 3})
 	if changed, _ := table.Sweep(now); len(changed) != 0 {
-		t.Fatalf("%+v of a replica that answers", changed)
+		t.Fatalf("%+v of a replica that responds", changed)
 	}
 	l.End(fleet.VerdictGood, now)
 	silentFor := 0
-	trials := 0
+	probes := 0
 	for range 50 {
 		now = now.Add(100 * time.Millisecond)
 		table.Report("b", fleet.Load{Taken: now, Running: 3})
@@ -78,19 +77,19 @@
 		}
 		got := acquireAt(t, table, now)
 		if got.Replica.ID == "a" {
-			trials++
+			probes++
 		}
 		got.End(fleet.VerdictNone, now)
 	}
-	if trials < 2 || trials > 6 {
-		t.Errorf("a silent replica was tried %d times in over four seconds", trials)
+	if probes < 2 || probes > 6 {
+		t.Errorf("a silent replica was probed %d times in over four seconds", probes)
 	}
 }
 
-// TestOwnSilenceTellsNothing blames no replica when none is heard: then it is
-// this process that is cut off or stood still.
-func TestOwnSilenceTellsNothing(t *testing.T) {
-	table := with("a", "b")
+// TestCutOffGatewayBlamesNoReplica checks that no replica counts as silent when none is
+// heard: then this process is cut off or was stopped.
+func TestCutOffGatewayBlamesNoReplica(t *testing.T) {
+	table := newTable("a", "b")
 	now := time.Now()
 	for _, id := range []catalog.ReplicaID{"a", "b"} {
 		table.Report(replica(id).Address, fleet.Load{Taken: now})
@@ -100,55 +99,55 @@
 	}
 }
 
-// TestStreamsLeaveACripplingRank moves requests away from a rank that is so slow that
-// a single one there makes the passes of its whole group too long, and sends it none.
-// One that is a little slow keeps its own.
-func TestStreamsLeaveACripplingRank(t *testing.T) {
-	for pace, crippling := range map[float64]bool{1.5: false, 12: true} {
+// TestStreamsLeaveStraggler checks that requests are rerouted from a rank so slow that a
+// single one there makes its whole group's passes too long, and that it gets none. A
+// slightly slow rank keeps its requests.
+func TestStreamsLeaveStraggler(t *testing.T) {
+	for pace, straggler := range map[float64]bool{1.5: false, 12: true} {
 		now := time.Now()
-		table := group(3, fleet.Load{Running: 2, Forecast: fleet.Forecast{Skew: 1.5}}, now)
-		ids := map[catalog.ReplicaID]*fleet.Lease{}
-		moved := 0
-		for len(ids) < 3 {
-			l := table.Acquire(t.Context(), &fleet.Query{Service: grouped, MaxGap: usefulGap, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now})
+		table := newGroupTable(3, fleet.Load{Running: 2, Forecast: fleet.Forecast{Skew: 1.5}}, now)
+		leases := map[catalog.ReplicaID]*fleet.Lease{}
+		rerouted := 0
+		for len(leases) < 3 {
+			l := table.Acquire(t.Context(), &fleet.Query{Service: groupedService, MaxGap: usefulGap, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now})
 			if l == nil {
-				t.Fatal("no room")
+				t.Fatal("no free slot")
 			}
-			l.OnReroute(func() { moved++ })
-			ids[l.Replica.ID] = l
+			l.OnReroute(func() { rerouted++ })
+			leases[l.Replica.ID] = l
 		}
 		now = now.Add(100 * time.Millisecond)
-		for id := range ids {
+		for id := range leases {
 			load := fleet.Load{Running: 2, Pace: 1, Forecast: fleet.Forecast{Skew: 1.5}, Taken: now, Pass: 50 * time.Millisecond}
 			if id == "c" {
 				load.Pace = pace
 			}
 			table.Report(replica(id).Address, load)
 		}
-		_, stuck := table.Sweep(now)
-		for _, l := range stuck {
+		_, toReroute := table.Sweep(now)
+		for _, l := range toReroute {
 			if l.Replica.ID != "c" {
-				t.Errorf("one at %s is moved", l.Replica.ID)
+				t.Errorf("a request at %s is rerouted", l.Replica.ID)
 			}
 			l.Reroute()
 		}
-		if (moved > 0) != crippling {
-			t.Errorf("pace %v: %d moved", pace, moved)
+		if (rerouted > 0) != straggler {
+			t.Errorf("pace %v: %d rerouted", pace, rerouted)
 		}
 		for range 10 {
-			l := table.Acquire(t.Context(), &fleet.Query{Service: grouped, MaxGap: usefulGap, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now})
-			if l != nil && l.Replica.ID == "c" && crippling {
-				t.Fatal("a rank that makes all passes too long gets a request")
+			l := table.Acquire(t.Context(), &fleet.Query{Service: groupedService, MaxGap: usefulGap, Now: now}, fleet.WaitBounds{FirstEventBy: now, GiveUpAt: now})
+			if l != nil && l.Replica.ID == "c" && straggler {
+				t.Fatal("a straggler that makes all passes too long got a request")
 			}
 		}
 	}
 }
 
-// TestOwnStreamsShowTheWay takes a replica for cut off whose reports still come through
-// another gateway, once an own stream there gets nothing while others do; and does not
-// while no stream gets anything, as when the whole group stands.
-func TestOwnStreamsShowTheWay(t *testing.T) {
-	table := with("a", "b")
+// TestStalledStreamShowsUnreachableReplica checks that a replica whose reports still arrive
+// through another gateway counts as unreachable once an own stream there stalls while others
+// proceed, but not while all streams stall, as when the whole group stops.
+func TestStalledStreamShowsUnreachableReplica(t *testing.T) {
+	table := newTable("a", "b")
 	now := time.Now()
 	report := func() {
 		table.Report("a", fleet.Load{Taken: now, Relayed: true})
@@ -165,13 +164,13 @@
 		now = now.Add(100 * time.Millisecond)
 		report()
 		if changed, _ := table.Sweep(now); len(changed) != 0 {
-			t.Fatalf("%+v while the group stands", changed)
+			t.Fatalf("%+v while the whole group stalls", changed)
 		}
 	}
 	first.OnReroute(func() {})
 	second.RecordResponse(now)
-	changed, stuck := table.Sweep(now)
-	if len(changed) != 1 || changed[0].Replica != first.Replica.ID || !changed[0].Silent || len(stuck) != 1 {
-		t.Errorf("%+v, %d to be moved", changed, len(stuck))
+	changed, toReroute := table.Sweep(now)
+	if len(changed) != 1 || changed[0].Replica != first.Replica.ID || !changed[0].Silent || len(toReroute) != 1 {
+		t.Errorf("%+v, %d to be rerouted", changed, len(toReroute))
 	}
 }
